--- a/src/test/java/pathgw/upstream/ConnectionPoolFixture.java
+++ b/src/test/java/pathgw/upstream/ConnectionPoolFixture.java
@@ -40,8 +40,8 @@
     return pool(new ConnectionLimit(maxConnections), MetaCodec::new);
   }
 
-  protected ConnectionPool pool(ConnectionLimit limit, Supplier<UpstreamCodec> codecs) {
-    return new ConnectionPool(this::dial, codecs, timers, limit, ANYWHERE, MAX_IDLE_TIME);
+  protected ConnectionPool pool(ConnectionLimit limit, Supplier<UpstreamCodec> codecFactory) {
+    return new ConnectionPool(this::dial, codecFactory, timers, limit, ANYWHERE, MAX_IDLE_TIME);
   }
 
   protected ConnectionPool pool(
