--- a/src/test/java/pathgw/codec/MetaCommandTest.java
+++ b/src/test/java/pathgw/codec/MetaCommandTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import pathgw.fixture.NetworkFixture;
 
-/** Parsing of meta commands and their form when they are forwarded. */
+/** Tests how meta commands are parsed and how they are encoded when forwarded. */
 class MetaCommandTest extends NetworkFixture {
   @Test
   void onlyTheClientTimeoutIsReplacedWhenForwarded() throws MalformedCommandException {
@@ -23,7 +23,7 @@
     assertTrue(write.isWrite());
   }
 
-  /** For both protocols, whatever other labels stand around it. */
+  /** In both protocols, whichever labels precede or follow the timeout. */
   @Test
   void timeLeftReplacesTheTimeoutLabelAtAnyPosition() throws MalformedCommandException {
     for (String[] form :
@@ -50,7 +50,10 @@
   void retryMarkAndTenantAreParsedFromLabels() throws MalformedCommandException {
     assertTrue(command("mg k v Oa Pc=read,t=one,r=1,d=5").isRetry());
     assertEquals(0, command("mg k v Oa Pc=read,t=one,d=5").tenant());
-    assertEquals(1, command("mg k v Oa Pc=read,t=unknown,d=5").tenant(), "no tenant's quota");
+    assertEquals(
+        1,
+        command("mg k v Oa Pc=read,t=unknown,d=5").tenant(),
+        "the index of an unknown tenant is the number of tenants");
     assertEquals(Duration.ofMillis(1500), command("mg k v Oa Pc=read").clientTimeout());
   }
 
--- a/src/test/java/pathgw/upstream/ConnectionPoolFixture.java
+++ b/src/test/java/pathgw/upstream/ConnectionPoolFixture.java
@@ -15,7 +15,7 @@
 import pathgw.transport.Connection;
 import pathgw.transport.FakeConnection;
 
-/** Connection pools to one endpoint and attempts whose ends are recorded. */
+/** Creates connection pools for one endpoint and attempts whose ends are recorded. */
 abstract class ConnectionPoolFixture extends NetworkFixture {
   private static final Duration MAX_IDLE_TIME = Duration.ofSeconds(11);
 
--- a/src/test/java/pathgw/upstream/ConnectionPoolTest.java
+++ b/src/test/java/pathgw/upstream/ConnectionPoolTest.java
@@ -20,7 +20,7 @@
 import pathgw.discovery.Endpoint;
 import pathgw.transport.FakeConnection;
 
-/** Connections to one cache node, and what the end of each attempt on them means. */
+/** Tests the connections to one cache node and how the attempts on them end. */
 class ConnectionPoolTest extends ConnectionPoolFixture {
   @Test
   void onlyAttemptsWhoseLastByteWasWrittenMayHaveRun() {
@@ -73,7 +73,8 @@
     attempt.cancel();
     attempt.end(AttemptEnd.ANSWERED, Buffer.buffer());
     assertEquals(List.of("CANCELLED"), ends);
-    assertTrue(dialled.get(0).closed, "its late reply could be taken for that to another command");
+    assertTrue(
+        dialled.get(0).closed, "its late reply could be taken for the reply to another command");
   }
 
   @Test
@@ -87,7 +88,8 @@
   }
 
   /**
-   * The rest of a long value would reach the node when it may have forgotten the idempotency key.
+   * Otherwise the rest of a long value could reach the node after it has forgotten the idempotency
+   * key.
    */
   @Test
   void attemptNotCompletelyWrittenWithinSendTimeIsCancelled() throws MalformedCommandException {
@@ -201,7 +203,7 @@
     FakeConnection later = dialled.get(dialled.size() - 1);
     later.gives("EN Oa1\r\n");
     later.gives("?");
-    assertTrue(later.closed, "also if the surplus bytes come a moment later");
+    assertTrue(later.closed, "surplus bytes may also arrive after the reply");
   }
 
   @Test
--- a/src/test/java/pathgw/upstream/OriginConnectionTest.java
+++ b/src/test/java/pathgw/upstream/OriginConnectionTest.java
@@ -9,11 +9,14 @@
 import pathgw.codec.MetaCommand;
 import pathgw.transport.FakeConnection;
 
-/** Attempts at the origin over HTTP. */
+/** Tests attempts that are sent to the origin over HTTP. */
 class OriginConnectionTest extends ConnectionPoolFixture {
   private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
 
-  /** The end of an attempt that gets a given response, and "closed" if its connection is. */
+  /**
+   * Sends an attempt and returns how the given response ends it, followed by "closed" if its
+   * connection was closed.
+   */
   private String attemptAtOrigin(String command, String response) throws MalformedCommandException {
     pool(new ConnectionLimit(1), () -> new HttpOriginCodec(ANYWHERE)).send(attempt(command));
     FakeConnection connection = dialled.get(dialled.size() - 1);
@@ -72,7 +75,7 @@
     ends.clear();
     assertEquals("nothing", attemptAtOrigin(READ, head.replace("\r\n\r\n", "\r\n")));
     dialled.get(2).ends();
-    assertEquals(List.of("BROKE_AFTER_LAST_BYTE"), ends, "not even its head was complete");
+    assertEquals(List.of("BROKE_AFTER_LAST_BYTE"), ends, "its head was incomplete");
     ends.clear();
     assertEquals(
         "REJECTED closed", attemptAtOrigin(READ, "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\n\r\n"));
@@ -82,7 +85,7 @@
     assertEquals(
         "ANSWERED VA 2 Oa1\r\nhi\r\n closed",
         attemptAtOrigin(READ, OK.replace("Con", "Connection: close\r\nCon")),
-        "nothing follows on it");
+        "the origin announced the close");
   }
 
   @Test
