--- a/src/test/java/pathgw/codec/MetaCommandTest.java
+++ b/src/test/java/pathgw/codec/MetaCommandTest.java
@@ -26,7 +26,7 @@
   /** In both protocols, whichever labels precede or follow the timeout. */
   @Test
   void timeLeftReplacesTheTimeoutLabelAtAnyPosition() throws MalformedCommandException {
-    for (String[] form :
+    for (String[] labels :
         new String[][] {
           {"c=read,d=480,zz=5", "c=read,d=77,zz=5"},
           {"d=480,c=read", "d=77,c=read"},
@@ -37,11 +37,11 @@
           {"id=9,c=read,zd=8,x=d=7", "id=9,c=read,zd=8,x=d=7"},
           {"id=9,c=read,zd=8,d=480,x=d=7", "id=9,c=read,zd=8,d=77,x=d=7"}
         }) {
-      MetaCommand command = command("mg k1 v Oa1 P" + form[0] + " x");
-      Duration left = Duration.ofMillis(77);
-      assertEquals("mg k1 v Oa1 P" + form[1] + " x\r\n", command.encode(left).toString());
-      String head = new HttpOriginCodec(ANYWHERE).encodeRequest(command, left).toString();
-      assertTrue(head.contains("\r\nX-Labels: " + form[1] + "\r\n"), head);
+      MetaCommand command = command("mg k1 v Oa1 P" + labels[0] + " x");
+      Duration timeLeft = Duration.ofMillis(77);
+      assertEquals("mg k1 v Oa1 P" + labels[1] + " x\r\n", command.encode(timeLeft).toString());
+      String head = new HttpOriginCodec(ANYWHERE).encodeRequest(command, timeLeft).toString();
+      assertTrue(head.contains("\r\nX-Labels: " + labels[1] + "\r\n"), head);
     }
     assertEquals("c=read,d=1", command("mg k v Oa Pc=read,d=9").labelsWithTimeLeft(Duration.ZERO));
   }
