--- a/src/test/java/pathgw/codec/MetaCommandTest.java
+++ b/src/test/java/pathgw/codec/MetaCommandTest.java
@@ -40,7 +40,7 @@
       MetaCommand command = command("mg k1 v Oa1 P" + labels[0] + " x");
       Duration timeLeft = Duration.ofMillis(77);
       assertEquals("mg k1 v Oa1 P" + labels[1] + " x\r\n", command.encode(timeLeft).toString());
-      String head = new HttpOriginCodec(ANYWHERE).encodeRequest(command, timeLeft).toString();
+      String head = new HttpOriginCodec(TEST_ADDRESS).encodeRequest(command, timeLeft).toString();
       assertTrue(head.contains("\r\nX-Labels: " + labels[1] + "\r\n"), head);
     }
     assertEquals("c=read,d=1", command("mg k v Oa Pc=read,d=9").labelsWithTimeLeft(Duration.ZERO));
--- a/src/test/java/pathgw/discovery/DiscoveryTest.java
+++ b/src/test/java/pathgw/discovery/DiscoveryTest.java
@@ -101,7 +101,7 @@
   /** Lets time pass, and answers each call to discovery that is open but for one. */
   private void passAnsweringCalls(int ms, FakeConnection except, Consumer<FakeConnection> answer) {
     for (int passed = 0; passed < ms; passed += 10) {
-      pass(10);
+      runForMillis(10);
       dialled.stream()
           .filter(each -> each != except && !each.closed && isDiscoveryCall(each))
           .toList()
@@ -173,23 +173,23 @@
     Discovery discovery = discovery();
     connectToEngine(discovery);
     driver.submit(engine -> {});
-    pass(3400);
+    runForMillis(3400);
     assertEquals(1, dialled.size(), "a call may wait for its turn");
-    pass(1200);
+    runForMillis(1200);
     assertTrue(dialled.get(0).closed, "but not until a missed update may be in effect");
     assertEquals(2, dialled.size());
     dialled.remove(0);
     dialled.get(0).gives(RESPONSE_HEAD + chunk(completeList(5, "ready")));
-    pass(2100);
+    runForMillis(2100);
     dialled.get(0).gives(EMPTY_LINE);
-    pass(2200);
+    runForMillis(2200);
     assertEquals(1, dialled.size(), "one line may be late");
-    pass(350);
+    runForMillis(350);
     assertEquals(2, dialled.size(), "another watch is opened within 2.5 s of the last line");
     assertFalse(dialled.get(0).closed, "the line may only be late");
     dialled.get(1).gives(RESPONSE_HEAD + chunk(change(5, "ready")));
     assertTrue(dialled.get(0).closed);
-    pass(2300);
+    runForMillis(2300);
     assertEquals(2, dialled.size());
   }
 
@@ -205,19 +205,19 @@
         EFFECTIVE_AFTER_MS - 100, silentWatch, connection -> connection.gives(UNAVAILABLE));
     int calls = dialled.size() - 1;
     assertTrue(calls >= 4 && calls <= 8, calls + " calls by one proxy before the lease expires");
-    asks();
-    assertEquals(1, attempts());
-    pass(110);
-    asks();
-    asks();
-    assertEquals(1, attempts(), "a quarter of the fleet may be draining");
+    sendRead();
+    assertEquals(1, attemptCount());
+    runForMillis(110);
+    sendRead();
+    sendRead();
+    assertEquals(1, attemptCount(), "a quarter of the fleet may be draining");
     silentWatch.gives(EMPTY_LINE);
-    asks();
-    assertEquals(1, attempts(), "a watch that was silent may have missed an update");
+    sendRead();
+    assertEquals(1, attemptCount(), "a watch that was silent may have missed an update");
     discovery.watch();
     lastDialled().gives(RESPONSE_HEAD + chunk(change(5, "ready")));
-    asks();
-    assertEquals(2, attempts(), "complete service at once");
+    sendRead();
+    assertEquals(2, attemptCount(), "complete service at once");
   }
 
   /**
@@ -230,19 +230,19 @@
     connectToEngine(discovery);
     driver.submit(engine -> {});
     dialled.get(0).gives(RESPONSE_HEAD + chunk(completeList(5, "ready")));
-    asks();
-    pass(1500);
+    sendRead();
+    runForMillis(1500);
     dialled.get(0).breaks();
     passAnsweringCalls(EFFECTIVE_AFTER_MS - 100 - 1500, null, FakeConnection::breaks);
-    asks();
-    assertEquals(2, attempts(), "until 6 s after the line");
-    pass(110);
-    asks();
-    assertEquals(2, attempts());
+    sendRead();
+    assertEquals(2, attemptCount(), "until 6 s after the line");
+    runForMillis(110);
+    sendRead();
+    assertEquals(2, attemptCount());
     discovery.watch();
     lastDialled().gives(RESPONSE_HEAD + chunk(change(5, "ready")));
-    asks();
-    assertEquals(3, attempts(), "complete service at once");
+    sendRead();
+    assertEquals(3, attemptCount(), "complete service at once");
   }
 
   /**
@@ -259,27 +259,27 @@
     discovery.reportLease();
     dialled.get(0).gives(RESPONSE_HEAD + chunk(completeList(5, "ready")));
     dialled.get(0).breaks();
-    asks();
-    assertEquals(0, attempts(), "with no watch every update may be in effect");
+    sendRead();
+    assertEquals(0, attemptCount(), "with no watch every update may be in effect");
     for (int calls = 1; calls < 8; calls++) {
-      pass(470);
+      runForMillis(470);
       assertTrue(
           dialled.size() > calls && dialled.size() < 3 + 3 * calls, dialled.size() + " calls");
     }
     while (lastDialled().closed) {
-      pass(10);
+      runForMillis(10);
     }
     lastDialled().gives(RESPONSE_HEAD + chunk(change(5, "ready")));
-    asks();
-    assertEquals(1, attempts());
+    sendRead();
+    assertEquals(1, attemptCount());
   }
 
   @Test
   void lastOfTwoEntriesOfANodeCounts() {
     Discovery discovery = discovery();
     apply(discovery, list(5, true, entry("ready"), entry("draining")));
-    asks();
-    assertEquals(0, attempts(), "draining by its second entry");
+    sendRead();
+    assertEquals(0, attemptCount(), "draining by its second entry");
   }
 
   @Test
@@ -287,16 +287,16 @@
     Discovery discovery = discovery();
     String entryElsewhere = entry("ready").replace("127.0.0.1:1", "127.0.0.1:2");
     apply(discovery, list(5, true, entry("ready"), entry("draining")));
-    asks();
-    assertEquals(0, attempts());
+    sendRead();
+    assertEquals(0, attemptCount());
     apply(discovery, list(6, false, entry("gone"), entryElsewhere));
-    asks();
-    assertEquals(1, attempts());
+    sendRead();
+    assertEquals(1, attemptCount());
     FakeConnection first = dialled.get(0);
     String restarted = entry("ready").replace("\"born_ms\":0", "\"born_ms\":1");
     apply(discovery, list(7, false, restarted));
-    asks();
-    assertEquals(2, attempts());
+    sendRead();
+    assertEquals(2, attemptCount());
     assertEquals(1, first.timesWritten, "the restarted node has a connection of its own");
   }
 
--- a/src/test/java/pathgw/discovery/EndpointTest.java
+++ b/src/test/java/pathgw/discovery/EndpointTest.java
@@ -19,7 +19,7 @@
   @Test
   void idsAndKeysAreHashedAlikeAtEveryProxy() throws MalformedCommandException {
     assertEquals(command("mg k1 v Oa Pc=read").keyHash(), command("ms k1 0 Ob Pc=write").keyHash());
-    Endpoint here = new Endpoint("s-1", ANYWHERE, EndpointState.READY, 0, 0, 0, 0);
+    Endpoint here = new Endpoint("s-1", TEST_ADDRESS, EndpointState.READY, 0, 0, 0, 0);
     Endpoint elsewhere =
         new Endpoint("s-1", new Address("127.9.9.9", 7), EndpointState.DRAINING, 5, 1, 2, 3);
     assertEquals(here.id(), elsewhere.id());
--- a/src/test/java/pathgw/server/ClientLimitsTest.java
+++ b/src/test/java/pathgw/server/ClientLimitsTest.java
@@ -12,14 +12,14 @@
 class ClientLimitsTest extends NetworkFixture {
   @Test
   void clientsIdleLongestAfterCommandAreClosedFirst() {
-    nodes("n1");
+    setReadyNodes("n1");
     List<ClientConnection> clients = new ArrayList<>();
     for (String command : new String[] {"mn\r\n", READ, "mn\r\n", "mn\r\n", ""}) {
-      after(60);
+      advanceMillis(60);
       client().gives(command);
       clients.add(client);
     }
-    after(1);
+    advanceMillis(1);
     assertEquals(List.of(clients.get(0), clients.get(2)), ClientRegistry.surplus(clients, 2));
     assertEquals(List.of(clients.get(0)), ClientRegistry.surplus(clients, 3));
     assertEquals(List.of(), ClientRegistry.surplus(clients, 4));
--- a/src/test/java/pathgw/server/ManualTransport.java
+++ b/src/test/java/pathgw/server/ManualTransport.java
@@ -22,7 +22,7 @@
   private final List<Timer> timers = new ArrayList<>();
   private long nanos;
 
-  void pass(long ms) {
+  void runForMillis(long ms) {
     for (long elapsed = 0; elapsed < ms; elapsed++) {
       nanos += 1_000_000;
       for (Timer timer : List.copyOf(timers)) {
--- a/src/test/java/pathgw/server/ShutdownTest.java
+++ b/src/test/java/pathgw/server/ShutdownTest.java
@@ -34,17 +34,17 @@
   void configurationReloadedBeforeStartTakesEffect() {
     proxy.reload(configWithDiscoveryPort77());
     proxy.start();
-    transport.pass(10);
+    transport.runForMillis(10);
     assertTrue(transport.dialled.get(0).written.toString().contains("Host: 127.0.0.1:77\r\n"));
   }
 
   @Test
   void reloadDuringShutdownDoesNotDelayIt() {
     proxy.start();
-    transport.pass(10);
+    transport.runForMillis(10);
     Future<Void> stopped = proxy.stop();
     proxy.reload(configWithDiscoveryPort77());
-    transport.pass(530);
+    transport.runForMillis(530);
     assertTrue(stopped.isComplete());
   }
 
@@ -55,11 +55,11 @@
   @Test
   void newClientsDoNotDelayShutdownForever() {
     proxy.start();
-    transport.pass(10);
+    transport.runForMillis(10);
     Future<Void> stopped = proxy.stop();
     for (int ms = 0; ms < 1100; ms += 100) {
       transport.onAccept.accept(new FakeConnection());
-      transport.pass(100);
+      transport.runForMillis(100);
     }
     assertTrue(stopped.isComplete());
   }
@@ -67,11 +67,11 @@
   @Test
   void idleProxyStopsAfterGracePeriod() {
     proxy.start();
-    transport.pass(10);
+    transport.runForMillis(10);
     Future<Void> stopped = proxy.stop();
-    transport.pass(490);
+    transport.runForMillis(490);
     assertFalse(stopped.isComplete());
-    transport.pass(30);
+    transport.runForMillis(30);
     assertTrue(stopped.isComplete());
   }
 }
--- a/src/test/java/pathgw/server/WarmUpTest.java
+++ b/src/test/java/pathgw/server/WarmUpTest.java
@@ -43,7 +43,7 @@
     FakeConnection client = new FakeConnection();
     client.from = "127.9.0.1";
     warmUp.accept(client, 2);
-    after(5000);
+    advanceMillis(5000);
     assertEquals(1, waitingClients.size());
     assertTrue(
         warmUp.isOwnConnection(new FakeConnection()),
@@ -54,7 +54,7 @@
   @Test
   void nothingIsWrittenWhereOwnAddressLeadsElsewhereAndStartContinues() {
     warmUp();
-    after(300);
+    advanceMillis(300);
     assertEquals(List.of(""), dialled.stream().map(s -> s.written.toString()).toList());
     assertTrue(dialled.get(0).closed);
     assertEquals(List.of(), waitingClients);
@@ -63,7 +63,7 @@
   @Test
   void startContinuesSoonAfterOwnAddressConnectedElsewhere() {
     warmUp();
-    pass(60);
+    runForMillis(60);
     assertEquals(List.of(), waitingClients);
   }
 
--- a/src/test/java/pathgw/upstream/ConnectionPoolFixture.java
+++ b/src/test/java/pathgw/upstream/ConnectionPoolFixture.java
@@ -41,12 +41,13 @@
   }
 
   protected ConnectionPool pool(ConnectionLimit limit, Supplier<UpstreamCodec> codecFactory) {
-    return new ConnectionPool(this::dial, codecFactory, timers, limit, ANYWHERE, MAX_IDLE_TIME);
+    return new ConnectionPool(this::dial, codecFactory, timers, limit, TEST_ADDRESS, MAX_IDLE_TIME);
   }
 
   protected ConnectionPool pool(
       Function<Address, Future<Connection>> connector, ConnectionLimit limit) {
-    return new ConnectionPool(connector, MetaCodec::new, timers, limit, ANYWHERE, MAX_IDLE_TIME);
+    return new ConnectionPool(
+        connector, MetaCodec::new, timers, limit, TEST_ADDRESS, MAX_IDLE_TIME);
   }
 
   protected FakeConnection sendOnNewPool() throws MalformedCommandException {
@@ -56,7 +57,7 @@
 
   /** Sends an attempt on a connection whose bytes never reach the network. */
   protected FakeConnection sendWithoutWriting() throws MalformedCommandException {
-    Future<Connection> connection = dial(ANYWHERE);
+    Future<Connection> connection = dial(TEST_ADDRESS);
     dialled.get(0).writes = false;
     pool(address -> connection, new ConnectionLimit(1)).send(attempt());
     return dialled.get(0);
--- a/src/test/java/pathgw/upstream/ConnectionPoolTest.java
+++ b/src/test/java/pathgw/upstream/ConnectionPoolTest.java
@@ -80,7 +80,7 @@
   @Test
   void attemptIsNotSentAfterItsSendTimeAndConnectionStaysOpen() throws MalformedCommandException {
     Attempt late = attempt();
-    after(60);
+    advanceMillis(60);
     pool(1).send(late);
     assertEquals(List.of("TOO_LATE_TO_SEND"), ends);
     assertEquals("", dialled.get(0).written.toString());
@@ -94,9 +94,9 @@
   @Test
   void attemptNotCompletelyWrittenWithinSendTimeIsCancelled() throws MalformedCommandException {
     FakeConnection connection = sendWithoutWriting();
-    after(50);
+    advanceMillis(50);
     assertEquals(List.of(), ends);
-    after(10);
+    advanceMillis(10);
     assertEquals(List.of("TIMED_OUT_BEFORE_LAST_BYTE"), ends);
     assertTrue(connection.closed);
   }
@@ -104,7 +104,7 @@
   @Test
   void attemptWithoutReplyTimesOut() throws MalformedCommandException {
     sendOnNewPool();
-    after(400);
+    advanceMillis(400);
     assertEquals(List.of("TIMED_OUT"), ends);
   }
 
@@ -144,10 +144,10 @@
     pool.send(attempt());
     assertEquals(2, dialled.size(), "surplus bytes may follow the reply");
     dialled.get(1).gives("EN Oa1\r\n");
-    after(2);
+    advanceMillis(2);
     pool.send(attempt());
     assertEquals(2, dialled.size(), "a settled connection is reused");
-    after(11_000);
+    advanceMillis(11_000);
     assertTrue(dialled.get(0).closed);
   }
 
@@ -167,7 +167,7 @@
 
   @Test
   void decisionEngineClosesIdleConnectionsOfOneNodeOnly() throws MalformedCommandException {
-    nodes("n1", "n2");
+    setReadyNodes("n1", "n2");
     pools.send(MetaCommand.hash("n1"), attempt());
     pools.send(MetaCommand.hash("n2"), attempt());
     dialled.get(0).gives("EN Oa1\r\n");
@@ -179,7 +179,7 @@
 
   @Test
   void nodeStaysReachableAfterItsIdleConnectionsAreClosed() throws MalformedCommandException {
-    nodes("n1");
+    setReadyNodes("n1");
     pools.send(MetaCommand.hash("n1"), attempt());
     dialled.get(0).gives("EN Oa1\r\n");
     pools.closeIdle();
@@ -210,11 +210,11 @@
   void replyThatStallsHalfWayIsAProtocolError() throws MalformedCommandException {
     FakeConnection node = sendOnNewPool();
     node.gives("VA 9 Oa1\r\nhi");
-    after(100);
+    advanceMillis(100);
     node.gives("ho");
-    after(100);
+    advanceMillis(100);
     assertEquals(List.of(), ends);
-    after(100);
+    advanceMillis(100);
     assertEquals(List.of("PROTOCOL_ERROR"), ends);
     assertTrue(node.closed);
   }
@@ -230,7 +230,7 @@
 
   @Test
   void connectionOfRemovedNodeIsClosedAfterItsAttempt() throws MalformedCommandException {
-    nodes("n1");
+    setReadyNodes("n1");
     pools.send(MetaCommand.hash("n1"), attempt());
     pools.remove(MetaCommand.hash("n1"));
     dialled.get(0).gives("EN Oa1\r\n");
@@ -240,10 +240,10 @@
 
   @Test
   void idleConnectionsAreClosedWhenTheirNodeRestarts() throws MalformedCommandException {
-    nodes("n1");
+    setReadyNodes("n1");
     pools.send(MetaCommand.hash("n1"), attempt());
     dialled.get(0).gives("EN Oa1\r\n");
-    pools.update(new Endpoint("n1", ANYWHERE, EndpointState.READY, 7, 0, 0, 0));
+    pools.update(new Endpoint("n1", TEST_ADDRESS, EndpointState.READY, 7, 0, 0, 0));
     assertTrue(dialled.get(0).closed);
   }
 }
--- a/src/test/java/pathgw/upstream/OriginConnectionTest.java
+++ b/src/test/java/pathgw/upstream/OriginConnectionTest.java
@@ -18,7 +18,7 @@
    * connection was closed.
    */
   private String attemptAtOrigin(String command, String response) throws MalformedCommandException {
-    pool(new ConnectionLimit(1), () -> new HttpOriginCodec(ANYWHERE)).send(attempt(command));
+    pool(new ConnectionLimit(1), () -> new HttpOriginCodec(TEST_ADDRESS)).send(attempt(command));
     FakeConnection connection = dialled.get(dialled.size() - 1);
     connection.gives(response);
     return (ends.isEmpty() ? "nothing" : ends.remove(0)) + (connection.closed ? " closed" : "");
