--- a/src/test/java/pathgw/server/WarmUpTest.java
+++ b/src/test/java/pathgw/server/WarmUpTest.java
@@ -16,7 +16,7 @@
   private List<Connection> waitingClients;
 
   private WarmUp warmUp() {
-    WarmUp warmUp = new WarmUp(timers, CONFIG, WarmUp.ROUNDS, this::dial);
+    WarmUp warmUp = new WarmUp(timers, CONFIG, WarmUp.DEFAULT_ROUNDS, this::dial);
     warmUp
         .run(1)
         .onSuccess(
