--- a/src/test/java/pathgw/server/ClientLimitsTest.java
+++ b/src/test/java/pathgw/server/ClientLimitsTest.java
@@ -20,9 +20,10 @@
       clients.add(client);
     }
     advanceMillis(1);
-    assertEquals(List.of(clients.get(0), clients.get(2)), ClientRegistry.surplus(clients, 2));
-    assertEquals(List.of(clients.get(0)), ClientRegistry.surplus(clients, 3));
-    assertEquals(List.of(), ClientRegistry.surplus(clients, 4));
+    assertEquals(
+        List.of(clients.get(0), clients.get(2)), ClientRegistry.surplusClients(clients, 2));
+    assertEquals(List.of(clients.get(0)), ClientRegistry.surplusClients(clients, 3));
+    assertEquals(List.of(), ClientRegistry.surplusClients(clients, 4));
   }
 
   @Test
