--- a/src/main/java/pathgw/benchlink/GossipMessage.java
+++ b/src/main/java/pathgw/benchlink/GossipMessage.java
@@ -18,11 +18,11 @@
   }
 
   /** Whether a received body can be a message; the network may deliver anything else too. */
-  static boolean fits(byte[] body) {
+  static boolean hasMessageLength(byte[] body) {
     return body.length == BYTES;
   }
 
-  /** Decodes a body that {@link #fits}. */
+  /** Decodes a body that {@link #hasMessageLength}. */
   static GossipMessage read(byte[] body) {
     FrameReader fields = new FrameReader(body);
     long node = fields.u32("node");
--- a/src/main/java/pathgw/benchlink/Instance.java
+++ b/src/main/java/pathgw/benchlink/Instance.java
@@ -27,7 +27,7 @@
   }
 
   /** Outcomes of attempts in the order of their completion codes, which begin with 1. */
-  private static final AttemptOutcome[] COMPLETIONS = {
+  private static final AttemptOutcome[] OUTCOMES_BY_CODE = {
     AttemptOutcome.SERVED,
     AttemptOutcome.ERROR,
     AttemptOutcome.REJECTED,
@@ -40,7 +40,7 @@
   };
 
   /** Endpoint states in the order of their {@code readiness}, which begins with 0. */
-  private static final EndpointState[] READINESS = {
+  private static final EndpointState[] STATES_BY_READINESS = {
     EndpointState.GONE, EndpointState.READY, EndpointState.DRAINING
   };
 
@@ -73,7 +73,7 @@
   }
 
   /** Sets the engine's time to the batch clock. */
-  void clock(long clockNanos) {
+  void setClock(long clockNanos) {
     engine.clock(sinceStart(clockNanos));
   }
 
@@ -110,11 +110,11 @@
     long onlineSince = fields.u64("onlineSinceNs");
     int kind = fields.u16("sku");
     int zone = fields.u16("site");
-    if (readiness >= READINESS.length) {
+    if (readiness >= STATES_BY_READINESS.length) {
       throw fields.invalidValue("readiness", readiness);
     }
     Duration started = onlineSince == 0 ? null : sinceStart(onlineSince);
-    engine.updateEndpoint(node, READINESS[readiness], started, kind, zone, cell);
+    engine.updateEndpoint(node, STATES_BY_READINESS[readiness], started, kind, zone, cell);
   }
 
   /** Reads an {@code incoming} record: a client's request. */
@@ -157,10 +157,10 @@
     boolean terminal = fields.u8("terminal") != 0;
     fields.u32("remark");
     skipLoadReport(fields);
-    if (code < 1 || code > COMPLETIONS.length) {
+    if (code < 1 || code > OUTCOMES_BY_CODE.length) {
       throw fields.invalidValue("outcome.code", code);
     }
-    engine.attemptEnded(request, attempt, COMPLETIONS[code - 1], latency, terminal);
+    engine.attemptEnded(request, attempt, OUTCOMES_BY_CODE[code - 1], latency, terminal);
   }
 
   /** Reads a {@code lapsed} record: the client has abandoned its request. */
@@ -185,7 +185,7 @@
   void datagram(FrameReader fields) {
     fields.u32("src");
     byte[] body = fields.bytes("body", fields.u16("body"));
-    if (GossipMessage.fits(body)) {
+    if (GossipMessage.hasMessageLength(body)) {
       GossipMessage message = GossipMessage.read(body);
       engine.peerReported(message.node(), message.success());
     }
