--- a/src/main/java/pathgw/cli/SeedBounds.java
+++ b/src/main/java/pathgw/cli/SeedBounds.java
@@ -10,8 +10,8 @@
  * @param to the last seed
  */
 record SeedBounds(long from, long to) {
-  private static final Pattern FORM = Pattern.compile("(\\d{1,12})-(\\d{1,12})");
-  private static final long MAX_SPAN = 10_000_000;
+  private static final Pattern RANGE_PATTERN = Pattern.compile("(\\d{1,12})-(\\d{1,12})");
+  private static final long MAX_SEED_DISTANCE = 10_000_000;
 
   long count() {
     return to - from + 1;
@@ -19,13 +19,13 @@
 
   /** Reads a range, or returns null if it is not of the form or too large. */
   static SeedBounds parse(String text) {
-    Matcher matcher = FORM.matcher(text);
+    Matcher matcher = RANGE_PATTERN.matcher(text);
     if (!matcher.matches()) {
       return null;
     }
     SeedBounds bounds =
         new SeedBounds(Long.parseLong(matcher.group(1)), Long.parseLong(matcher.group(2)));
-    boolean valid = bounds.from <= bounds.to && bounds.to - bounds.from <= MAX_SPAN;
+    boolean valid = bounds.from <= bounds.to && bounds.to - bounds.from <= MAX_SEED_DISTANCE;
     return valid ? bounds : null;
   }
 }
--- a/src/main/java/pathgw/cli/SeedRangeReport.java
+++ b/src/main/java/pathgw/cli/SeedRangeReport.java
@@ -11,7 +11,7 @@
 
 /** Prints the results of a range of seeds; the last line is for machines. */
 final class SeedRangeReport {
-  private static final int INDENT = 4;
+  private static final int INDENT_SPACES = 4;
   private static final double MILLIS_PER_SECOND = 1000.0;
 
   private final SeedRange.Result result;
@@ -31,13 +31,13 @@
     for (SeedRange.Failure failure : result.failures()) {
       out.println("seed " + failure.seed() + ": " + failure.violation());
       if (!failure.shrunk().isEmpty()) {
-        out.println(failure.shrunk().indent(INDENT));
-        store(failure, directory);
+        out.println(failure.shrunk().indent(INDENT_SPACES));
+        storeScenario(failure, directory);
       }
     }
   }
 
-  private static void store(SeedRange.Failure failure, Path directory) throws IOException {
+  private static void storeScenario(SeedRange.Failure failure, Path directory) throws IOException {
     if (directory != null) {
       Files.createDirectories(directory);
       Files.writeString(
--- a/src/main/java/pathgw/cli/SimulateCommand.java
+++ b/src/main/java/pathgw/cli/SimulateCommand.java
@@ -28,7 +28,7 @@
   private static final int MAX_THREADS = 256;
 
   /** On a terminal, progress is shown once in so many runs. */
-  private static final int RUNS_BETWEEN_PROGRESS = 50;
+  private static final int RUNS_PER_PROGRESS_LINE = 50;
 
   /** What is played; exactly one of these is given. */
   private static final class Input {
@@ -70,15 +70,15 @@
 
   @Override
   public Integer call() throws InterruptedException, IOException {
-    turnLoggingOff();
+    disableLogging();
     if (threads < 1 || threads > MAX_THREADS) {
-      throw invalidUse("--jobs is not between 1 and " + MAX_THREADS);
+      throw usageError("--jobs is not between 1 and " + MAX_THREADS);
     }
     if (input.seeds != null) {
       return playSeeds();
     }
     if (input.seed != null && input.seed < 0) {
-      throw invalidUse("--seed is below 0");
+      throw usageError("--seed is below 0");
     }
     return playScenario();
   }
@@ -91,14 +91,14 @@
       System.out.println(violation == null ? "all rules kept" : scenario + violation);
       return violation == null ? EXIT_OK : EXIT_VIOLATION;
     } catch (InvalidInputException e) {
-      throw invalidUse(input.scenarioFile + ": " + e.getMessage());
+      throw usageError(input.scenarioFile + ": " + e.getMessage());
     }
   }
 
   private int playSeeds() throws InterruptedException, IOException {
     SeedBounds bounds = SeedBounds.parse(input.seeds);
     if (bounds == null) {
-      throw invalidUse("--seeds is '" + input.seeds + "', not a range like 0-9999");
+      throw usageError("--seeds is '" + input.seeds + "', not a range like 0-9999");
     }
     long startNanos = System.nanoTime();
     SeedRange.Result result = play(bounds);
@@ -123,9 +123,9 @@
     if (System.console() == null) {
       return SeedRange.ProgressListener.NONE;
     }
-    int runsBetween = fleet ? 1 : RUNS_BETWEEN_PROGRESS;
+    int runsPerProgressLine = fleet ? 1 : RUNS_PER_PROGRESS_LINE;
     return (played, failed) -> {
-      if (played % runsBetween == 0) {
+      if (played % runsPerProgressLine == 0) {
         System.err.printf("\r%d of %d seeds, %d failed ", played, count, failed);
       }
     };
@@ -135,17 +135,17 @@
     try {
       return Files.readString(file);
     } catch (IOException e) {
-      throw invalidUse(file + ": cannot be read: " + e.getMessage());
+      throw usageError(file + ": cannot be read: " + e.getMessage());
     }
   }
 
   /** The proxies of a run would log thousands of lines, with times of day that are not theirs. */
-  private static void turnLoggingOff() {
+  private static void disableLogging() {
     LogManager.getLogManager().reset();
     Logger.getLogger("").setLevel(Level.OFF);
   }
 
-  private ParameterException invalidUse(String message) {
+  private ParameterException usageError(String message) {
     return new ParameterException(spec.commandLine(), message);
   }
 }
