--- a/src/test/java/pathgw/RunScriptTest.java
+++ b/src/test/java/pathgw/RunScriptTest.java
@@ -50,11 +50,11 @@
 
   @Test
   void unusableMemoryLimitIsReported() throws Exception {
-    String complaint = "run.sh: no usable limits.memory_mb in NODE_CONFIG '";
-    assertTrue(outputOfRun(null).startsWith(complaint));
+    String warning = "run.sh: no usable limits.memory_mb in NODE_CONFIG '";
+    assertTrue(outputOfRun(null).startsWith(warning));
     assertTrue(
-        outputOfRun("{\"limits\":{\"memory_mb\":\"much\",\"sockets\":512}}").startsWith(complaint));
+        outputOfRun("{\"limits\":{\"memory_mb\":\"much\",\"sockets\":512}}").startsWith(warning));
     assertTrue(outputOfRun("{\"limits\":{\"memory_mb\":99999999999}}").contains("-Xmx34m "));
-    assertTrue(outputOfRun("{}").startsWith(complaint));
+    assertTrue(outputOfRun("{}").startsWith(warning));
   }
 }
--- a/src/test/java/pathgw/server/FleetSizeTest.java
+++ b/src/test/java/pathgw/server/FleetSizeTest.java
@@ -33,8 +33,8 @@
 
 /** One proxy of a thousand, with a thousand cache nodes. */
 class FleetSizeTest {
-  private static final int MANY = 1024;
-  private static final int PIECE_BYTES = 16_384;
+  private static final int FLEET_SIZE = 1024;
+  private static final int SEGMENT_BYTES = 16_384;
 
   /** A host name of the greatest length that DNS allows. */
   private static String host(int i) {
@@ -45,7 +45,7 @@
   private static final String FIELD_SEPARATOR = ",\n" + " ".repeat(100);
 
   private static String hosts(String health) {
-    return IntStream.range(0, MANY)
+    return IntStream.range(0, FLEET_SIZE)
         .mapToObj(
             i ->
                 String.join(
@@ -77,7 +77,7 @@
 
   private static Config configWithManyPeersAndNodes() {
     String peers =
-        IntStream.range(0, MANY)
+        IntStream.range(0, FLEET_SIZE)
             .mapToObj(i -> "\"10.9." + i / 250 + "." + i % 250 + ":7946\"")
             .collect(Collectors.joining(","));
     return Config.read(
@@ -90,7 +90,7 @@
                     + "],\n\"known\": "
                     + list(1, "draining")
                     + ",")
-            .replace("\"instances\": 1", "\"instances\": " + MANY)
+            .replace("\"instances\": 1", "\"instances\": " + FLEET_SIZE)
             .getBytes(StandardCharsets.UTF_8));
   }
 
@@ -102,8 +102,8 @@
             + "\r\n"
             + list
             + "\r\n";
-    for (int at = 0; at < response.length(); at += PIECE_BYTES) {
-      int end = Math.min(response.length(), at + PIECE_BYTES);
+    for (int at = 0; at < response.length(); at += SEGMENT_BYTES) {
+      int end = Math.min(response.length(), at + SEGMENT_BYTES);
       transport.dialled.get(0).gives(response.substring(at, end));
     }
   }
@@ -132,15 +132,15 @@
   @Test
   void proxyHandlesThousandPeersAndThousandNodes() {
     Config config = configWithManyPeersAndNodes();
-    assertEquals(MANY, config.peers().size());
-    assertEquals(MANY, config.settings().proxies());
+    assertEquals(FLEET_SIZE, config.peers().size());
+    assertEquals(FLEET_SIZE, config.settings().proxies());
     EventLoopTimers timers =
         new EventLoopTimers(transport::nanos, transport.unixMillis(), transport::after);
     DecisionDriver driver = new DecisionDriver(timers, new DecisionEngine(config.settings(), 1));
     UpstreamPools pools = new UpstreamPools(this::dial, this::dial, timers, config, 400);
     Discovery discovery =
         new Discovery(
-            this::dial, timers, driver, pools, config, RestoredSnapshots.none(), what -> {});
+            this::dial, timers, driver, pools, config, RestoredSnapshots.none(), event -> {});
     Gossip gossip = new Gossip(transport, driver, config);
     driver.setProxyActions(
         new TestProxyActions(pools, discovery) {
@@ -150,7 +150,7 @@
           }
         });
     discovery.apply(config.initialEndpointList().get(), EndpointListSource.CONFIGURATION);
-    assertEquals(MANY, pools.startTimes().size());
+    assertEquals(FLEET_SIZE, pools.startTimes().size());
 
     String list = list(2, "ready");
     assertTrue(list.length() > 1 << 20, list.length() + " bytes");
--- a/src/test/java/pathgw/server/ProcessIT.java
+++ b/src/test/java/pathgw/server/ProcessIT.java
@@ -57,7 +57,7 @@
 
   private void sendEndpointList(Peer peer) {
     try {
-      SocketFixture.sendEndpointList(peer, SocketFixture.entry("n1", node.port(), "std"));
+      SocketFixture.sendEndpointList(peer, SocketFixture.listEntry("n1", node.port(), "std"));
     } catch (IOException e) {
       // The proxy has closed the call.
     }
@@ -127,9 +127,9 @@
       for (int waits = 0;
           waits < 1000 && client.socket.getInputStream().available() == 0;
           waits++) {
-        Peer at = node.poll();
-        if (at != null) {
-          return at;
+        Peer nodePeer = node.poll();
+        if (nodePeer != null) {
+          return nodePeer;
         }
         Thread.sleep(1);
       }
@@ -144,17 +144,17 @@
       try (Socket socket = client().socket) {
         Peer client = new Peer(socket);
         client.send(SocketFixture.read(id));
-        Peer at = null;
+        Peer nodePeer = null;
         long until = System.nanoTime() + 3_000_000_000L;
-        while (at == null
+        while (nodePeer == null
             && socket.getInputStream().available() == 0
             && System.nanoTime() < until) {
           Thread.sleep(1);
-          at = node.poll();
+          nodePeer = node.poll();
         }
-        if (at != null) {
-          at.readLine();
-          at.send(SocketFixture.value(id));
+        if (nodePeer != null) {
+          nodePeer.readLine();
+          nodePeer.send(SocketFixture.value(id));
           return client.readLine() + client.readLine();
         }
       } catch (IOException rejected) {
@@ -190,13 +190,13 @@
     start(discovery.port());
     awaitLog("serves on");
     Peer client = client();
-    Peer at = sendAndAwaitAtNode(client, "a");
-    String id = at.readLine().replaceAll("(?s).* O(\\w+) .*\\s", "$1");
+    Peer nodePeer = sendAndAwaitAtNode(client, "a");
+    String id = nodePeer.readLine().replaceAll("(?s).* O(\\w+) .*\\s", "$1");
     signal("TERM");
     awaitLog("shutting down:");
     signal("TERM");
     signal("HUP");
-    at.send(SocketFixture.value(id));
+    nodePeer.send(SocketFixture.value(id));
     assertEquals(SocketFixture.value(id), client.readLine() + client.readLine());
     assertEquals("", client.readLine(), "an end, not a reset");
     client.socket.close();
--- a/src/test/java/pathgw/server/SocketFixture.java
+++ b/src/test/java/pathgw/server/SocketFixture.java
@@ -122,7 +122,7 @@
   final Config config;
   final ProxyServer proxy;
   final int port;
-  private int ids;
+  private int lastId;
 
   SocketFixture() throws Exception {
     this(transport -> transport, text -> text);
@@ -145,7 +145,7 @@
     port = await(started.future());
   }
 
-  static String entry(String host, int port, String kind) {
+  static String listEntry(String host, int port, String kind) {
     return "{\"host\":\""
         + host
         + "\",\"dial\":\"127.0.0.1:"
@@ -157,7 +157,8 @@
 
   private void sendEndpointList(Peer peer) {
     try {
-      sendEndpointList(peer, entry("n1", node.port(), "std"), entry("o", origin.port(), "origin"));
+      sendEndpointList(
+          peer, listEntry("n1", node.port(), "std"), listEntry("o", origin.port(), "origin"));
     } catch (IOException e) {
       throw new AssertionError(e);
     }
@@ -180,7 +181,7 @@
   }
 
   String id() {
-    return "a" + ++ids;
+    return "a" + ++lastId;
   }
 
   static String read(String id) {
@@ -198,12 +199,12 @@
   /** Sends a read and gives the node's end of the connection on which it was forwarded. */
   Peer sendAndAwaitAtNode(Peer client, String id) throws Exception {
     client.send(read(id));
-    Peer at = node.next();
-    String line = at.readLine();
+    Peer nodePeer = node.next();
+    String line = nodePeer.readLine();
     if (!line.contains("O" + id)) {
       throw new AssertionError(line);
     }
-    return at;
+    return nodePeer;
   }
 
   /** Waits until the proxy has the endpoint list, and forwards. */
@@ -212,22 +213,22 @@
     while (true) {
       String id = id();
       client.send(read(id));
-      Peer at = null;
+      Peer nodePeer = null;
       long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
-      while (at == null && client.socket.getInputStream().available() == 0) {
-        at = node.poll();
+      while (nodePeer == null && client.socket.getInputStream().available() == 0) {
+        nodePeer = node.poll();
         if (System.nanoTime() > until) {
           throw new AssertionError("neither forwarded nor rejected");
         }
         Thread.onSpinWait();
       }
-      if (at != null) {
-        at.readLine();
-        at.send(value(id));
+      if (nodePeer != null) {
+        nodePeer.readLine();
+        nodePeer.send(value(id));
         client.readLine();
         client.readLine();
         // So that the next command opens a connection of its own.
-        at.reset();
+        nodePeer.reset();
         client.reset();
         eventually(
             "the proxy has seen both connections end",
--- a/src/test/java/pathgw/server/SocketRaceTest.java
+++ b/src/test/java/pathgw/server/SocketRaceTest.java
@@ -38,8 +38,8 @@
       // An idle connection to the node: a forwarded request is written at once.
       Peer first = fixture.client();
       String id = fixture.id();
-      Peer at = fixture.sendAndAwaitAtNode(first, id);
-      at.send(SocketFixture.value(id));
+      Peer nodePeer = fixture.sendAndAwaitAtNode(first, id);
+      nodePeer.send(SocketFixture.value(id));
       first.readLine();
       Thread.sleep(20);
       fixture.whileLoopBlocked(
@@ -55,7 +55,7 @@
           "all requests have ended", () -> fixture.proxy.resourceUsage().requests() == 0);
       first.send(SocketFixture.read("end"));
       Peer other = fixture.node.poll();
-      String line = at.readLine();
+      String line = nodePeer.readLine();
       assertTrue((line.isEmpty() && other != null) || line.contains("Oend"), line);
     }
   }
@@ -68,13 +68,14 @@
       for (int n = 0; n < 100; n++) {
         client.send(SocketFixture.read(fixture.id()));
       }
-      List<Peer> out = new ArrayList<>();
+      List<Peer> forwarded = new ArrayList<>();
       for (int n = 0; n < 4; n++) {
-        out.add(fixture.node.next());
+        forwarded.add(fixture.node.next());
       }
       client.socket.close();
-      for (Peer at : out) {
-        assertTrue(at.readToEnd().startsWith("mg "), "cancelled as soon as the client had closed");
+      for (Peer nodePeer : forwarded) {
+        assertTrue(
+            nodePeer.readToEnd().startsWith("mg "), "cancelled as soon as the client had closed");
       }
       fixture.eventually(
           "nothing is left open for the client",
@@ -88,9 +89,9 @@
   void clientHalfCloseCancelsItsRequests() throws Exception {
     try (SocketFixture fixture = new SocketFixture().awaitEndpointList()) {
       Peer client = fixture.client();
-      Peer at = fixture.sendAndAwaitAtNode(client, fixture.id());
+      Peer nodePeer = fixture.sendAndAwaitAtNode(client, fixture.id());
       client.socket.shutdownOutput();
-      assertEquals("", at.readToEnd());
+      assertEquals("", nodePeer.readToEnd());
       fixture.eventually(
           "nothing is left open for the client",
           () -> fixture.proxy.resourceUsage().requests() == 0);
@@ -113,10 +114,10 @@
       fixture.eventually(
           "the client connection has ended", () -> fixture.proxy.resourceUsage().clients() == 0);
       fixture.loop.runOnContext(now -> dial.run());
-      Peer at = fixture.node.next();
-      at.socket.setSoTimeout(200);
+      Peer nodePeer = fixture.node.next();
+      nodePeer.socket.setSoTimeout(200);
       try {
-        assertEquals("", at.readLine(), "an attempt began for a client that had closed");
+        assertEquals("", nodePeer.readLine(), "an attempt began for a client that had closed");
       } catch (SocketTimeoutException expected) {
         // As it should be: the connection is idle.
       }
@@ -131,13 +132,13 @@
     try (SocketFixture fixture = new SocketFixture().awaitEndpointList()) {
       Peer client = fixture.client();
       String id = fixture.id();
-      Peer at = fixture.sendAndAwaitAtNode(client, id);
+      Peer nodePeer = fixture.sendAndAwaitAtNode(client, id);
       Future<Void> stopped = fixture.stop();
       Thread.sleep(600);
       fixture.whileLoopBlocked(
           5,
           () -> {
-            at.send(SocketFixture.value(id));
+            nodePeer.send(SocketFixture.value(id));
             client.send(SocketFixture.read(fixture.id()));
           });
       String received = client.readToEnd();
@@ -156,12 +157,12 @@
     try (SocketFixture fixture = new SocketFixture().awaitEndpointList()) {
       Peer client = fixture.client();
       String id = fixture.id();
-      Peer at = fixture.sendAndAwaitAtNode(client, id);
+      Peer nodePeer = fixture.sendAndAwaitAtNode(client, id);
       Future<Void> stopped = fixture.stop();
       Thread.sleep(600);
       client.send(SocketFixture.read(fixture.id()));
       Thread.sleep(100);
-      at.send(SocketFixture.value(id));
+      nodePeer.send(SocketFixture.value(id));
       assertEquals(SocketFixture.value(id) + "SERVER_ERROR busy\r\n", client.readToEnd());
       client.socket.close();
       SocketFixture.await(stopped);
@@ -188,14 +189,14 @@
     try (SocketFixture fixture = new SocketFixture().awaitEndpointList()) {
       Peer client = fixture.client();
       String id = fixture.id();
-      Peer at = fixture.sendAndAwaitAtNode(client, id);
+      Peer nodePeer = fixture.sendAndAwaitAtNode(client, id);
       Future<Void> stopped = fixture.stop();
       Thread.sleep(600);
-      Peer late = fixture.client();
-      late.send(SocketFixture.read(fixture.id()));
-      assertEquals("SERVER_ERROR busy\r\n", late.readToEnd());
-      late.socket.close();
-      at.send(SocketFixture.value(id));
+      Peer newClient = fixture.client();
+      newClient.send(SocketFixture.read(fixture.id()));
+      assertEquals("SERVER_ERROR busy\r\n", newClient.readToEnd());
+      newClient.socket.close();
+      nodePeer.send(SocketFixture.value(id));
       assertEquals(SocketFixture.value(id), client.readToEnd());
       client.socket.close();
       SocketFixture.await(stopped);
@@ -235,10 +236,10 @@
       // everything.
       SocketFixture.await(closed);
       int receivedBytes = 0;
-      byte[] some = new byte[1 << 16];
+      byte[] buffer = new byte[1 << 16];
       try {
         int n;
-        while ((n = peer.socket.getInputStream().read(some)) >= 0) {
+        while ((n = peer.socket.getInputStream().read(buffer)) >= 0) {
           receivedBytes += n;
         }
       } catch (SocketException reset) {
@@ -270,8 +271,8 @@
   /** Sends a read that is a miss at the node, and gives the origin's end of its fetch. */
   private static Peer awaitAtOrigin(SocketFixture fixture, Peer client, String id)
       throws Exception {
-    Peer at = fixture.sendAndAwaitAtNode(client, id);
-    at.send("EN O" + id + "\r\n");
+    Peer nodePeer = fixture.sendAndAwaitAtNode(client, id);
+    nodePeer.send("EN O" + id + "\r\n");
     Peer origin = fixture.origin.next();
     skipHead(origin);
     return origin;
@@ -288,10 +289,10 @@
             origin.send(ORIGIN + "\r\nhalf of wh");
             origin.reset();
           });
-      Peer again = fixture.origin.next();
-      skipHead(again);
-      again.send(ORIGIN + "\r\nwhole");
-      again.socket.close();
+      Peer retry = fixture.origin.next();
+      skipHead(retry);
+      retry.send(ORIGIN + "\r\nwhole");
+      retry.socket.close();
       assertTrue(client.readLine().startsWith("VA 5 "));
       assertEquals("whole\r\n", client.readLine());
     }
@@ -323,17 +324,17 @@
     try (SocketFixture fixture = new SocketFixture().awaitEndpointList()) {
       Peer client = fixture.client();
       String id = fixture.id();
-      Peer at = fixture.sendAndAwaitAtNode(client, id);
+      Peer nodePeer = fixture.sendAndAwaitAtNode(client, id);
       fixture.whileLoopBlocked(
           0,
           () -> {
-            at.send("VA 2 O" + id + "\r\nh");
-            at.socket.close();
+            nodePeer.send("VA 2 O" + id + "\r\nh");
+            nodePeer.socket.close();
           });
-      Peer again = fixture.node.poll();
+      Peer retry = fixture.node.poll();
       // There is one node: a retry can go only there, and the client must get no value.
       String received = client.readLine();
-      assertFalse(received.startsWith("VA"), received + (again == null ? "" : ", retried"));
+      assertFalse(received.startsWith("VA"), received + (retry == null ? "" : ", retried"));
     }
   }
 
@@ -356,9 +357,9 @@
     try (SocketFixture fixture = new SocketFixture().awaitEndpointList()) {
       Peer client = fixture.client();
       String id = fixture.id();
-      Peer at = fixture.sendAndAwaitAtNode(client, id);
+      Peer nodePeer = fixture.sendAndAwaitAtNode(client, id);
       Thread.sleep(200);
-      at.send("EN O" + id + "\r\n");
+      nodePeer.send("EN O" + id + "\r\n");
       long deadlineMs = readDeadlineLabel(fixture.origin.next());
       assertTrue(
           deadlineMs > 0 && deadlineMs <= 1400 - 200,
