--- a/src/main/java/pathgw/benchlink/ActionCode.java
+++ b/src/main/java/pathgw/benchlink/ActionCode.java
@@ -1,6 +1,6 @@
 package pathgw.benchlink;
 
-/** Codes of the action records that the decision engine uses, under the wire's names. */
+/** Codes of the action records in replies, under the names of the simulator's wire format. */
 final class ActionCode {
   /** Fetches the whole endpoint list once. */
   static final byte REFRESH = 65;
@@ -8,7 +8,7 @@
   /** Sends a message to other instances. */
   static final byte BROADCAST_TO = 66;
 
-  /** Ends a request without any promise about its effect. */
+  /** Fails a request, which may or may not have taken effect. */
   static final byte ABORT = 68;
 
   /** Subscribes to changes of the endpoint list. */
--- a/src/main/java/pathgw/benchlink/EventCode.java
+++ b/src/main/java/pathgw/benchlink/EventCode.java
@@ -1,11 +1,11 @@
 package pathgw.benchlink;
 
-/** Codes of the event records, under the wire's names. */
+/** Codes of the event records, under the names of the simulator's wire format. */
 final class EventCode {
-  /** An instance starts, empty. */
+  /** An instance starts without any state. */
   static final int POWER_ON = 1;
 
-  /** A report of the discovery service. */
+  /** An update of the endpoint list, or a failed call for it. */
   static final int UPDATE = 2;
 
   /** A client's request has arrived. */
--- a/src/main/java/pathgw/benchlink/Instance.java
+++ b/src/main/java/pathgw/benchlink/Instance.java
@@ -8,8 +8,8 @@
 import pathgw.decision.Settings;
 
 /**
- * One decision engine and the event records addressed to it. Each method reads the fields of one
- * record that follow the instance number, and passes what they say to the engine.
+ * Passes the event records of one instance to its decision engine. Each method reads those fields
+ * of one record that follow the instance number.
  */
 final class Instance {
   /** Values of {@code kind} in an update record. */
@@ -26,7 +26,7 @@
     static final int WRITE = 4;
   }
 
-  /** Outcomes of attempts in the order of their completion codes, which begin with 1. */
+  /** Attempt outcomes by the {@code code} of an outcome record, minus 1. */
   private static final AttemptOutcome[] OUTCOMES_BY_CODE = {
     AttemptOutcome.SERVED,
     AttemptOutcome.ERROR,
@@ -39,7 +39,7 @@
     AttemptOutcome.MISS
   };
 
-  /** Endpoint states in the order of their {@code readiness}, which begins with 0. */
+  /** Endpoint states by the {@code readiness} of an endpoint in an update record. */
   private static final EndpointState[] STATES_BY_READINESS = {
     EndpointState.GONE, EndpointState.READY, EndpointState.DRAINING
   };
@@ -57,7 +57,7 @@
   /**
    * Starts an instance from a {@code power_on} record.
    *
-   * @param startNanos the batch clock, from which the instance counts its times
+   * @param startNanos the batch clock in nanoseconds, which is the instance's time zero
    * @throws pathgw.config.InvalidInputException if the settings are invalid
    */
   static Instance powerOn(FrameReader fields, long startNanos) {
@@ -81,7 +81,7 @@
     return Duration.ofNanos(clockNanos - startNanos);
   }
 
-  /** Reads an {@code update} record: endpoints of the list, or the failure of a call. */
+  /** Reads an {@code update} record: entries of the endpoint list, or a failed call for it. */
   void update(FrameReader fields) {
     int kind = fields.u8("kind");
     fields.u64("seqNo");
@@ -168,12 +168,12 @@
     engine.requestAbandoned(fields.u32("req"));
   }
 
-  /** Reads a {@code timer} record; decisions follow every event, so it need not say more. */
+  /** Reads a {@code timer} record, whose mark is ignored: the engine decides after every event. */
   void timer(FrameReader fields) {
     fields.u64("mark");
   }
 
-  /** Reads a {@code checked} record; the engine sends no health checks and ignores the result. */
+  /** Reads a {@code checked} record and ignores it, because the engine sends no health checks. */
   void checked(FrameReader fields) {
     fields.u8("code");
     fields.u64("lagNs");
@@ -181,7 +181,7 @@
     skipLoadReport(fields);
   }
 
-  /** Reads a {@code datagram} record; a body of another form is ignored. */
+  /** Reads a {@code datagram} record; a body that is not a gossip message is ignored. */
   void datagram(FrameReader fields) {
     fields.u32("src");
     byte[] body = fields.bytes("body", fields.u16("body"));
