--- a/src/main/java/pathgw/cli/Cli.java
+++ b/src/main/java/pathgw/cli/Cli.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The root of the command line, for every subcommand but the serving process itself. */
+/** The root command of the command line interface. */
 @Command(
     name = "pathgw",
     mixinStandardHelpOptions = true,
@@ -18,7 +18,7 @@
   /**
    * Runs one subcommand.
    *
-   * @return the exit status: 0 for success, 1 for a violated rule, 2 for invalid use
+   * @return the exit status: 0 for success, 1 for a violated rule, 2 for invalid arguments
    */
   public static int run(String[] args) {
     return new CommandLine(new Cli()).execute(args);
--- a/src/main/java/pathgw/cli/SeedBounds.java
+++ b/src/main/java/pathgw/cli/SeedBounds.java
@@ -4,10 +4,10 @@
 import java.util.regex.Pattern;
 
 /**
- * A range of seeds.
+ * The bounds of a range of seeds.
  *
  * @param from the first seed
- * @param to the last seed
+ * @param to the last seed, inclusive
  */
 record SeedBounds(long from, long to) {
   private static final Pattern RANGE_PATTERN = Pattern.compile("(\\d{1,12})-(\\d{1,12})");
@@ -17,7 +17,7 @@
     return to - from + 1;
   }
 
-  /** Reads a range, or returns null if it is not of the form or too large. */
+  /** Parses a range such as {@code 0-9999}; returns null if it is malformed, empty or too large. */
   static SeedBounds parse(String text) {
     Matcher matcher = RANGE_PATTERN.matcher(text);
     if (!matcher.matches()) {
--- a/src/main/java/pathgw/cli/SeedRangeReport.java
+++ b/src/main/java/pathgw/cli/SeedRangeReport.java
@@ -9,7 +9,7 @@
 import java.util.Locale;
 import pathgw.simulation.SeedRange;
 
-/** Prints the results of a range of seeds; the last line is for machines. */
+/** Prints the results of a range of seeds; the last line is meant to be parsed by tools. */
 final class SeedRangeReport {
   private static final int INDENT_SPACES = 4;
   private static final double MILLIS_PER_SECOND = 1000.0;
@@ -25,7 +25,7 @@
   /**
    * Prints each violation, with its shrunk scenario if it has one.
    *
-   * @param directory where the shrunk scenarios are stored as well; null for nowhere
+   * @param directory the directory in which the shrunk scenarios are also stored; null for none
    */
   void printFailures(Path directory) throws IOException {
     for (SeedRange.Failure failure : result.failures()) {
@@ -46,7 +46,9 @@
     }
   }
 
-  /** Prints all counters, and how well clients were served at the end of the runs. */
+  /**
+   * Prints all counters, and the distribution of the shares of attempts served at the runs' ends.
+   */
   void printCounts() {
     result.counts().forEach((name, value) -> out.printf("%10d  %s%n", value, name));
     List<Double> rates = result.serviceRates().stream().sorted().toList();
@@ -60,7 +62,7 @@
     }
   }
 
-  /** Prints the speed and the totals with the digest. */
+  /** Prints the simulation's speed, and the totals with the digest. */
   void printTotals(Duration elapsed) {
     double seconds = elapsed.toMillis() / MILLIS_PER_SECOND;
     out.printf(
--- a/src/main/java/pathgw/cli/SimulateCommand.java
+++ b/src/main/java/pathgw/cli/SimulateCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Plays seeds or a scenario file in the simulation and prints the violations. */
+/** Runs the simulation on seeds or on a scenario file and prints the violations. */
 @Command(
     name = "simulate",
     mixinStandardHelpOptions = true,
@@ -27,10 +27,10 @@
   private static final int EXIT_VIOLATION = 1;
   private static final int MAX_THREADS = 256;
 
-  /** On a terminal, progress is shown once in so many runs. */
+  /** Number of runs between two updates of the progress line on a terminal. */
   private static final int RUNS_PER_PROGRESS_LINE = 50;
 
-  /** What is played; exactly one of these is given. */
+  /** The seeds or the scenario to run; exactly one option must be given. */
   private static final class Input {
     @Option(names = "--seeds", paramLabel = "FROM-TO", description = "All seeds of this range.")
     private String seeds;
@@ -118,7 +118,7 @@
         : SeedRange.play(bounds.from(), bounds.to(), threads, true, progress);
   }
 
-  @SuppressWarnings("SystemConsoleNull") // Progress lines must not fill a file.
+  @SuppressWarnings("SystemConsoleNull") // Progress lines are written only to a terminal.
   private SeedRange.ProgressListener progressListener(long count) {
     if (System.console() == null) {
       return SeedRange.ProgressListener.NONE;
@@ -139,7 +139,10 @@
     }
   }
 
-  /** The proxies of a run would log thousands of lines, with times of day that are not theirs. */
+  /**
+   * Disables logging, since the simulated proxies would log thousands of lines whose timestamps are
+   * the real time, not that of the simulation.
+   */
   private static void disableLogging() {
     LogManager.getLogManager().reset();
     Logger.getLogger("").setLevel(Level.OFF);
--- a/src/main/java/pathgw/cli/package-info.java
+++ b/src/main/java/pathgw/cli/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Answers the command line: it turns arguments into calls, and results into lines and exit
- * statuses.
+ * The command line interface: parses arguments, and turns results into output and exit statuses.
  *
- * <p>Only {@code pathgw.Main} calls it, through {@link pathgw.cli.Cli}, for every subcommand but
- * the serving process itself. It holds no logic of its own and nothing may depend on it.
+ * <p>Only {@code pathgw.Main} calls it, through {@link pathgw.cli.Cli}, for all arguments that
+ * {@code Main} does not handle itself. It contains no logic beyond that, and no other package may
+ * depend on it.
  */
 package pathgw.cli;
