--- a/src/main/java/pathgw/cli/SeedRangeReport.java
+++ b/src/main/java/pathgw/cli/SeedRangeReport.java
@@ -55,7 +55,7 @@
     if (!rates.isEmpty()) {
       out.printf(
           Locale.ROOT,
-          "service at the end: least %.3f, 1st percentile %.3f, median %.3f%n",
+          "service rate at the end: minimum %.3f, 1st percentile %.3f, median %.3f%n",
           rates.get(0),
           rates.get(rates.size() / 100),
           rates.get(rates.size() / 2));
--- a/src/main/java/pathgw/cli/SimulateCommand.java
+++ b/src/main/java/pathgw/cli/SimulateCommand.java
@@ -21,7 +21,8 @@
 @Command(
     name = "simulate",
     mixinStandardHelpOptions = true,
-    description = "Plays the proxy on a virtual network and clock, with faults drawn from seeds.")
+    description =
+        "Runs proxies on a virtual network and clock, with faults drawn at random from a seed.")
 final class SimulateCommand implements Callable<Integer> {
   private static final int EXIT_OK = 0;
   private static final int EXIT_VIOLATION = 1;
@@ -32,7 +33,10 @@
 
   /** The seeds or the scenario to run; exactly one option must be given. */
   private static final class Input {
-    @Option(names = "--seeds", paramLabel = "FROM-TO", description = "All seeds of this range.")
+    @Option(
+        names = "--seeds",
+        paramLabel = "FROM-TO",
+        description = "All seeds of this range, bounds included.")
     private String seeds;
 
     @Option(names = "--seed", paramLabel = "N", description = "One seed.")
@@ -41,7 +45,7 @@
     @Option(
         names = "--script",
         paramLabel = "FILE",
-        description = "A scenario, as a failing run leaves one.")
+        description = "A scenario file, as stored by --keep.")
     private Path scenarioFile;
   }
 
@@ -50,35 +54,40 @@
   @ArgGroup(multiplicity = "1")
   private Input input;
 
-  @Option(names = "--jobs", paramLabel = "N", description = "Threads; as many as cores by default.")
+  @Option(
+      names = "--jobs",
+      paramLabel = "N",
+      description = "Number of threads; by default the number of cores.")
   private int threads = Runtime.getRuntime().availableProcessors();
 
-  @Option(names = "--fleet", description = "Seeds draw fleets of up to 100 proxies and 200 nodes.")
+  @Option(names = "--fleet", description = "Draws fleets of up to 100 proxies and 200 nodes.")
   private boolean fleet;
 
-  @Option(names = "--trace", description = "Prints all that happens in one run.")
+  @Option(names = "--trace", description = "Prints all events of one run.")
   private boolean trace;
 
-  @Option(names = "--counts", description = "Prints how often each fault, end and response came.")
+  @Option(
+      names = "--counts",
+      description = "Prints how often each kind of fault, end and response occurred.")
   private boolean counts;
 
   @Option(
       names = "--keep",
       paramLabel = "DIR",
-      description = "Stores the shrunk scenarios of failing seeds there.")
+      description = "Stores the shrunk scenarios of failed seeds in this directory.")
   private Path keepDirectory;
 
   @Override
   public Integer call() throws InterruptedException, IOException {
     disableLogging();
     if (threads < 1 || threads > MAX_THREADS) {
-      throw usageError("--jobs is not between 1 and " + MAX_THREADS);
+      throw usageError("--jobs is " + threads + ", not between 1 and " + MAX_THREADS);
     }
     if (input.seeds != null) {
       return playSeeds();
     }
     if (input.seed != null && input.seed < 0) {
-      throw usageError("--seed is below 0");
+      throw usageError("--seed is " + input.seed + ", but must be 0 or greater");
     }
     return playScenario();
   }
