--- a/src/main/java/pathgw/benchlink/Instance.java
+++ b/src/main/java/pathgw/benchlink/Instance.java
@@ -87,7 +87,7 @@
     fields.u64("seqNo");
     long entries = fields.u32("items");
     if (kind > UpdateKind.FAILED) {
-      throw fields.invalidValue("kind", kind);
+      throw fields.invalidValue("kind", kind, " but must be between 0 and " + UpdateKind.FAILED);
     }
     if (kind == UpdateKind.FAILED) {
       engine.endpointCallFailed();
@@ -111,7 +111,8 @@
     int kind = fields.u16("sku");
     int zone = fields.u16("site");
     if (readiness >= STATES_BY_READINESS.length) {
-      throw fields.invalidValue("readiness", readiness);
+      throw fields.invalidValue(
+          "readiness", readiness, " but must be between 0 and " + (STATES_BY_READINESS.length - 1));
     }
     Duration started = onlineSince == 0 ? null : sinceStart(onlineSince);
     engine.updateEndpoint(node, STATES_BY_READINESS[readiness], started, kind, zone, cell);
@@ -158,7 +159,8 @@
     fields.u32("remark");
     skipLoadReport(fields);
     if (code < 1 || code > OUTCOMES_BY_CODE.length) {
-      throw fields.invalidValue("outcome.code", code);
+      throw fields.invalidValue(
+          "outcome.code", code, " but must be between 1 and " + OUTCOMES_BY_CODE.length);
     }
     engine.attemptEnded(request, attempt, OUTCOMES_BY_CODE[code - 1], latency, terminal);
   }
