--- a/deploy/run.sh
+++ b/deploy/run.sh
@@ -1,7 +1,9 @@
 #!/bin/sh
-# One proxy on sockets. The JVM's caps come from the memory that the configuration allows, since the program itself
-# reads it too late. The whole heap is touched at the start: what fills it later, garbage mostly, is then no growth.
-# Read by the shell itself: where proxies may start no other program, a substitution or a pipe fails, and with it the start.
+# Starts one proxy. The JVM's memory limits are derived from limits.memory_mb of the configuration, because the program
+# reads the configuration only after the JVM has fixed them. AlwaysPreTouch makes the whole heap resident at the start, so
+# that the process does not grow later when the heap fills, mostly with garbage.
+# The configuration is read with shell builtins only: where a proxy may not start other programs, a command substitution
+# or a pipe fails, and the start with it.
 memory=
 if [ -r "${NODE_CONFIG:-}" ]; then
     while IFS= read -r line || [ -n "$line" ]; do
@@ -14,7 +16,7 @@
         esac
     done <"$NODE_CONFIG"
 fi
-# A wrong cap shows only hours later, when the process is killed for its memory: so it is said at once.
+# Reported at once, because a wrong limit shows only hours later, when the process is killed for exceeding its memory.
 case $memory in
 '' | 0* | ???????*)
     echo "run.sh: no usable limits.memory_mb in NODE_CONFIG '${NODE_CONFIG:-}': taking 128" >&2
@@ -26,8 +28,9 @@
 direct=$((memory / 10))
 [ "$direct" -ge 8 ] || direct=8
 export MALLOC_ARENA_MAX=1
-# While a proxy starts again its clients go unserved. The archive is mapped where it was made for, since moving it means
-# to mend every address in it; the library that speaks epoll lies there unpacked; nobody looks for loggers we lack.
+# Clients are not served while a proxy restarts, so these options shorten the start: the class archive is mapped at its
+# intended address, because relocating it means patching every pointer in it; the native epoll library is already unpacked
+# in target/native; and the logger delegate is named, so that Vert.x does not search for other logging libraries.
 exec java -Xms${heap}m -Xmx${heap}m -Xmn$((heap * 2 / 5))m -XX:MaxDirectMemorySize=${direct}m -XX:+AlwaysPreTouch \
     -XX:+UseSerialGC -XX:+UnlockDiagnosticVMOptions -XX:ArchiveRelocationMode=0 \
     -XX:SharedArchiveFile=target/pathgw.jsa -Xlog:cds=off,cds+dynamic=off -XX:-UsePerfData \
