--- a/src/test/java/pathgw/server/ClientLimitsTest.java
+++ b/src/test/java/pathgw/server/ClientLimitsTest.java
@@ -8,7 +8,7 @@
 import pathgw.client.ClientConnection;
 import pathgw.fixture.NetworkFixture;
 
-/** How many clients may hold a connection, and whose connection is closed first. */
+/** Tests how many clients may stay connected and which of them are closed first. */
 class ClientLimitsTest extends NetworkFixture {
   @Test
   void clientsIdleLongestAfterCommandAreClosedFirst() {
--- a/src/test/java/pathgw/server/DelayedDialTransport.java
+++ b/src/test/java/pathgw/server/DelayedDialTransport.java
@@ -11,13 +11,14 @@
 import pathgw.transport.Connection;
 import pathgw.transport.Transport;
 
-/** A transport on which connections to one port come up only when the test runs them. */
+/** A transport that delays connections to one port until the test establishes them. */
 final class DelayedDialTransport implements Transport {
   private final Transport delegate;
 
-  /** Connections to this port are delayed from now on. */
+  /** The port to which connections are delayed. */
   volatile int port;
 
+  /** Each establishes one delayed connection when the test runs it. */
   final LinkedBlockingQueue<Runnable> delayed = new LinkedBlockingQueue<>();
 
   DelayedDialTransport(Transport delegate) {
--- a/src/test/java/pathgw/server/FleetSizeTest.java
+++ b/src/test/java/pathgw/server/FleetSizeTest.java
@@ -31,17 +31,17 @@
 import pathgw.transport.FakeConnection;
 import pathgw.upstream.UpstreamPools;
 
-/** One proxy of a thousand, with a thousand cache nodes. */
+/** Tests one proxy of a fleet of about a thousand proxies and a thousand cache nodes. */
 class FleetSizeTest {
   private static final int FLEET_SIZE = 1024;
   private static final int SEGMENT_BYTES = 16_384;
 
-  /** A host name of the greatest length that DNS allows. */
+  /** A host name of the maximum length in DNS. */
   private static String host(int i) {
     return "s" + i + "-".repeat(252 - Integer.toString(i).length());
   }
 
-  /** Wide enough that a list is longer than 1 MiB, which once was the bound. */
+  /** Long enough that the endpoint list exceeds 1 MiB, a former limit of its size. */
   private static final String FIELD_SEPARATOR = ",\n" + " ".repeat(100);
 
   private static String hosts(String health) {
@@ -94,7 +94,7 @@
             .getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Answers the call for the endpoint list, in pieces as the network cuts them. */
+  /** Answers the call for the endpoint list in several segments, as a network delivers it. */
   private void sendEndpointList(String list) {
     String response =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -118,7 +118,7 @@
     }
   }
 
-  /** Sends the same failure report eight times, and gives whether the node is suspected after. */
+  /** Sends a failure report eight times, and returns whether the node is suspected afterwards. */
   private boolean suspectedAfterReports(DecisionDriver driver, long node, String peer) {
     Buffer report = Buffer.buffer().appendLong(node).appendByte((byte) 0);
     for (int i = 0; i < 8; i++) {
--- a/src/test/java/pathgw/server/ManualTransport.java
+++ b/src/test/java/pathgw/server/ManualTransport.java
@@ -12,7 +12,7 @@
 import pathgw.transport.FakeConnection;
 import pathgw.transport.Transport;
 
-/** A transport whose time, connections and datagrams are driven by the test. */
+/** A transport whose clock, connections and datagrams are controlled by the test. */
 final class ManualTransport implements Transport {
   private record Timer(long dueNanos, Runnable task) {}
 
@@ -22,6 +22,7 @@
   private final List<Timer> timers = new ArrayList<>();
   private long nanos;
 
+  /** Advances the time in steps of 1 ms and runs the timers that are due. */
   void runForMillis(long ms) {
     for (long elapsed = 0; elapsed < ms; elapsed++) {
       nanos += 1_000_000;
--- a/src/test/java/pathgw/server/ProcessIT.java
+++ b/src/test/java/pathgw/server/ProcessIT.java
@@ -23,7 +23,7 @@
 import pathgw.server.SocketFixture.FakeServer;
 import pathgw.server.SocketFixture.Peer;
 
-/** The packaged program in a process of its own, with real signals and real limits. */
+/** Tests the packaged program as a separate process, with real signals and descriptor limits. */
 @Timeout(60)
 class ProcessIT {
   @TempDir Path folder;
@@ -59,7 +59,7 @@
     try {
       SocketFixture.sendEndpointList(peer, SocketFixture.listEntry("n1", node.port(), "std"));
     } catch (IOException e) {
-      // The proxy has closed the call.
+      // The proxy has closed the connection of the call.
     }
   }
 
@@ -67,7 +67,7 @@
     Files.writeString(
         folder.resolve("config.json"),
         TestConfig.json()
-            // Else a slow attempt is cancelled, and the response comes from elsewhere.
+            // Otherwise a slow attempt is cancelled and another node or the origin responds.
             .replace("\"cancel\": true", "\"cancel\": false")
             .replace("\"127.0.0.1:0\"", "\"127.0.0.1:" + port + "\"")
             .replace(
@@ -107,7 +107,7 @@
     assertEquals(0, new ProcessBuilder("kill", "-" + name, pid).start().waitFor());
   }
 
-  /** Connects as soon as the program listens. */
+  /** Retries until the program listens, and connects to it. */
   private Peer client() throws Exception {
     for (int i = 0; i < 10_000; i++) {
       try {
@@ -120,7 +120,12 @@
     throw new AssertionError("the program does not listen");
   }
 
-  /** Sends reads until the node has received one, which needs the endpoint list. */
+  /**
+   * Sends reads until the node receives one, because the proxy rejects reads until it has the
+   * endpoint list.
+   *
+   * @return the node's end of the connection
+   */
   private Peer sendAndAwaitAtNode(Peer client, String id) throws Exception {
     for (int i = 0; i < 1000; i++) {
       client.send(SocketFixture.read(id + i));
@@ -138,7 +143,7 @@
     throw new AssertionError("never forwarded");
   }
 
-  /** The response that a client gets that reconnects whenever it is rejected. */
+  /** Sends a read, reconnecting whenever it is rejected, and returns the response. */
   private String readWithReconnects(String id) throws Exception {
     for (int i = 0; i < 100; i++) {
       try (Socket socket = client().socket) {
@@ -170,7 +175,7 @@
     assertEquals(128 + 15, process.exitValue(), log());
   }
 
-  /** The process is suspended, so that command and signal are pending together. */
+  /** The process is suspended, so that the command and the signal are pending at the same time. */
   @Test
   void terminatedDuringWarmUpItAnswersReceivedCommands() throws Exception {
     start(discovery.port());
@@ -232,7 +237,7 @@
     assertEquals("MN\r\n", client.readLine());
   }
 
-  /** Clients that send nothing take all descriptors that they can get. */
+  /** Clients that send nothing occupy all descriptors available to clients. */
   @Test
   void idleClientsHoldingAllDescriptorsDoNotBlockOthersDuringDiscoveryOutage() throws Exception {
     int discoveryPort = freePort();
--- a/src/test/java/pathgw/server/ShutdownTest.java
+++ b/src/test/java/pathgw/server/ShutdownTest.java
@@ -10,7 +10,7 @@
 import pathgw.config.TestConfig;
 import pathgw.transport.FakeConnection;
 
-/** Graceful shutdown, and reloads before and during it. */
+/** Tests the graceful shutdown, and reloads before the start and during the shutdown. */
 class ShutdownTest {
   private final ManualTransport transport = new ManualTransport();
   private final ProxyServer proxy =
@@ -29,7 +29,7 @@
     assertTrue(proxy.stop().isComplete());
   }
 
-  /** The signal may arrive before there is a discovery service to change. */
+  /** SIGHUP may arrive before the proxy has started and calls a discovery service. */
   @Test
   void configurationReloadedBeforeStartTakesEffect() {
     proxy.reload(configWithDiscoveryPort77());
@@ -49,8 +49,8 @@
   }
 
   /**
-   * 14 of 10,000 simulated seeds had not stopped in 4.5 s: each rejected newcomer's connection was
-   * awaited.
+   * A proxy that awaited the end of every rejected connection did not stop while new clients kept
+   * connecting: in 14 of 10,000 simulated seeds it had not stopped after 4.5 s.
    */
   @Test
   void newClientsDoNotDelayShutdownForever() {
--- a/src/test/java/pathgw/server/SighupHandlerTest.java
+++ b/src/test/java/pathgw/server/SighupHandlerTest.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The signal that asks for a reload of the configuration. */
+/** Tests the handler of the signal that requests a reload of the configuration. */
 class SighupHandlerTest {
   @Test
   void hangupRunsActionAndDoesNotEndProcess()
--- a/src/test/java/pathgw/server/SocketFixture.java
+++ b/src/test/java/pathgw/server/SocketFixture.java
@@ -22,8 +22,8 @@
 import pathgw.transport.VertxTransport;
 
 /**
- * One proxy on real sockets between raw peers that the test drives byte by byte. Its event loop can
- * be blocked: what the peers send meanwhile is in the kernel's buffers when the loop goes on.
+ * One proxy on real sockets, whose peers are raw sockets that the test controls. Its event loop can
+ * be blocked; the bytes that peers send meanwhile are in the kernel's buffers when it continues.
  */
 final class SocketFixture implements AutoCloseable {
   static final int TIMEOUT_MS = 5000;
@@ -43,7 +43,7 @@
       return this;
     }
 
-    /** Reads a line with its terminator, or up to the end of the stream; a reset throws. */
+    /** Reads a line with its terminator, or up to the end of the stream; throws on a reset. */
     String readLine() throws IOException {
       ByteArrayOutputStream line = new ByteArrayOutputStream();
       int b;
@@ -56,7 +56,7 @@
       return line.toString(StandardCharsets.ISO_8859_1);
     }
 
-    /** Reads up to the end of the stream; a reset throws. */
+    /** Reads up to the end of the stream; throws on a reset. */
     String readToEnd() throws IOException {
       return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
@@ -67,7 +67,7 @@
     }
   }
 
-  /** Listens on loopback and keeps the connections that it accepts. */
+  /** Listens on loopback and queues the accepted connections. */
   static final class FakeServer implements AutoCloseable {
     final ServerSocket socket;
     private final LinkedBlockingQueue<Peer> accepted = new LinkedBlockingQueue<>();
@@ -84,7 +84,7 @@
                     onAccept.accept(peer);
                   }
                 } catch (IOException closed) {
-                  // The test is over.
+                  // The test has closed the server.
                 }
               });
       acceptor.setDaemon(true);
@@ -95,6 +95,7 @@
       return socket.getLocalPort();
     }
 
+    /** Waits for the next accepted connection. */
     Peer next() throws InterruptedException {
       Peer peer = accepted.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
       if (peer == null) {
@@ -103,7 +104,7 @@
       return peer;
     }
 
-    /** The next connection if it has been accepted by now, else null. */
+    /** The next accepted connection, or null if there is none yet. */
     Peer poll() {
       return accepted.poll();
     }
@@ -164,7 +165,7 @@
     }
   }
 
-  /** Answers a call for the endpoint list, whose response stays open as a watch. */
+  /** Answers a call for the endpoint list with a response that stays open as a watch. */
   static void sendEndpointList(Peer peer, String... entries) throws IOException {
     peer.readLine();
     String list = "{\"seq\":1,\"whole\":true,\"hosts\":[" + String.join(",", entries) + "]}\n";
@@ -180,6 +181,7 @@
     return new Peer(new Socket("127.0.0.1", port));
   }
 
+  /** Returns a new request id. */
   String id() {
     return "a" + ++lastId;
   }
@@ -196,7 +198,7 @@
     return "VA 2 O" + id + "\r\nhi\r\n";
   }
 
-  /** Sends a read and gives the node's end of the connection on which it was forwarded. */
+  /** Sends a read; returns the node's end of the connection on which it was forwarded. */
   Peer sendAndAwaitAtNode(Peer client, String id) throws Exception {
     client.send(read(id));
     Peer nodePeer = node.next();
@@ -207,7 +209,7 @@
     return nodePeer;
   }
 
-  /** Waits until the proxy has the endpoint list, and forwards. */
+  /** Waits until the proxy has the endpoint list and forwards requests. */
   SocketFixture awaitEndpointList() throws Exception {
     Peer client = client();
     while (true) {
@@ -227,7 +229,7 @@
         nodePeer.send(value(id));
         client.readLine();
         client.readLine();
-        // So that the next command opens a connection of its own.
+        // Closes both connections, so that the next command opens new ones.
         nodePeer.reset();
         client.reset();
         eventually(
@@ -241,7 +243,7 @@
     }
   }
 
-  /** Blocks the event loop while a step runs, and for a minimum time. */
+  /** Blocks the event loop while a step runs, at least for a minimum time in milliseconds. */
   void whileLoopBlocked(long minMs, Step step) throws Exception {
     CountDownLatch blocked = new CountDownLatch(1);
     CountDownLatch unblock = new CountDownLatch(1);
@@ -270,7 +272,11 @@
     void run() throws Exception;
   }
 
-  /** Waits until a condition holds, which is evaluated on the event loop. */
+  /**
+   * Waits until a condition holds, which is evaluated on the event loop.
+   *
+   * @param description the message of the failure if the condition never holds
+   */
   void eventually(String description, BooleanSupplier condition) throws Exception {
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
     while (true) {
--- a/src/test/java/pathgw/server/SocketRaceTest.java
+++ b/src/test/java/pathgw/server/SocketRaceTest.java
@@ -22,7 +22,8 @@
 import pathgw.transport.VertxTransport;
 
 /**
- * Races between the proxy and its peers on real sockets, each forced by blocking the event loop.
+ * Tests races between the proxy and its peers on real sockets. Most are forced by blocking the
+ * event loop or by delaying a connection.
  */
 @Timeout(30)
 class SocketRaceTest {
@@ -31,11 +32,11 @@
 
   // Clients that close their connection.
 
-  /** Requests and close are unread together when the event loop goes on. */
+  /** The requests and the close are both unread when the event loop continues. */
   @Test
   void pipelinedRequestsFollowedByCloseAreNotForwarded() throws Exception {
     try (SocketFixture fixture = new SocketFixture().awaitEndpointList()) {
-      // An idle connection to the node: a forwarded request is written at once.
+      // Leaves an idle connection to the node, on which a request would be forwarded at once.
       Peer first = fixture.client();
       String id = fixture.id();
       Peer nodePeer = fixture.sendAndAwaitAtNode(first, id);
@@ -60,7 +61,10 @@
     }
   }
 
-  /** With sixteen responses pending reading is paused: attempts must be cancelled all the same. */
+  /**
+   * Reading from a client is paused while sixteen responses are pending. The close must be detected
+   * nevertheless, so that the attempts are cancelled.
+   */
   @Test
   void clientCloseIsDetectedWhileReadingIsPaused() throws Exception {
     try (SocketFixture fixture = new SocketFixture().awaitEndpointList()) {
@@ -119,14 +123,14 @@
       try {
         assertEquals("", nodePeer.readLine(), "an attempt began for a client that had closed");
       } catch (SocketTimeoutException expected) {
-        // As it should be: the connection is idle.
+        // Expected: nothing is sent on the connection.
       }
     }
   }
 
   // Connections that end while bytes are unread.
 
-  /** A response written while the next command is unread must reach its client whole. */
+  /** A response that is written while the next command is unread must not be truncated. */
   @Test
   void lastResponseDuringShutdownIsNotLostToReset() throws Exception {
     try (SocketFixture fixture = new SocketFixture().awaitEndpointList()) {
@@ -151,7 +155,7 @@
     }
   }
 
-  /** A command read while a response is pending counts as received. */
+  /** A command that was read while a response was pending counts as received. */
   @Test
   void commandReadBeforeConnectionEndIsAnswered() throws Exception {
     try (SocketFixture fixture = new SocketFixture().awaitEndpointList()) {
@@ -169,7 +173,10 @@
     }
   }
 
-  /** It arrives after the proxy has ended the connection: the client may resend it safely. */
+  /**
+   * A command that arrives after the proxy has ended the connection must not be forwarded, so that
+   * the client may safely send it again.
+   */
   @Test
   void commandCrossingConnectionEndIsNotForwarded() throws Exception {
     try (SocketFixture fixture = new SocketFixture().awaitEndpointList()) {
@@ -205,7 +212,7 @@
 
   // Attempts that are cancelled.
 
-  /** Dials a server, writes more than the kernel buffers, and closes at once. */
+  /** Connects to a server, writes more than the kernel buffers, and closes immediately. */
   private static Future<Connection.CloseReason> writeAndClose(SocketFixture fixture, int port) {
     VertxTransport transport = new VertxTransport(fixture.vertx);
     Promise<Connection.CloseReason> closed = Promise.promise();
@@ -223,8 +230,8 @@
   }
 
   /**
-   * A write that was not sent completely may be retried elsewhere, so the remainder must not
-   * follow.
+   * A write that was not sent completely may be retried at another endpoint, so its remaining bytes
+   * must not be sent after the close.
    */
   @Test
   void closeDiscardsUnsentBytes() throws Exception {
@@ -232,8 +239,8 @@
         SocketFixture fixture = new SocketFixture()) {
       Future<Connection.CloseReason> closed = writeAndClose(fixture, server.port());
       Peer peer = server.next();
-      // Not read before: a peer that reads as fast as this side writes could have received
-      // everything.
+      // Reads only after the close, because a peer that reads as fast as this side writes could
+      // receive everything.
       SocketFixture.await(closed);
       int receivedBytes = 0;
       byte[] buffer = new byte[1 << 16];
@@ -243,13 +250,13 @@
           receivedBytes += n;
         }
       } catch (SocketException reset) {
-        // Equivalent to an end of the stream.
+        // Equivalent to the end of the stream.
       }
       assertTrue(receivedBytes < LARGE_WRITE_BYTES, receivedBytes + " of " + LARGE_WRITE_BYTES);
     }
   }
 
-  /** A peer that reads nothing must not hold its descriptor forever. */
+  /** A peer that reads nothing must not keep a closed connection's descriptor in use. */
   @Test
   void closeDoesNotWaitForPeerThatReadsNothing() throws Exception {
     try (SocketFixture.FakeServer server = new SocketFixture.FakeServer(peer -> {});
@@ -268,7 +275,7 @@
     }
   }
 
-  /** Sends a read that is a miss at the node, and gives the origin's end of its fetch. */
+  /** Sends a read that is a miss at the node; returns the origin's end of the connection. */
   private static Peer awaitAtOrigin(SocketFixture fixture, Peer client, String id)
       throws Exception {
     Peer nodePeer = fixture.sendAndAwaitAtNode(client, id);
@@ -298,7 +305,7 @@
     }
   }
 
-  /** The duplicate arrives when the connection is wanted for the next request. */
+  /** The duplicate arrives when the connection would be reused for the next request. */
   @Test
   void duplicateOriginResponseIsNotTakenForNextRequest() throws Exception {
     try (SocketFixture fixture = new SocketFixture().awaitEndpointList()) {
@@ -332,7 +339,7 @@
             nodePeer.socket.close();
           });
       Peer retry = fixture.node.poll();
-      // There is one node: a retry can go only there, and the client must get no value.
+      // With one node, a retry can go only there, so the client must not receive a value.
       String received = client.readLine();
       assertFalse(received.startsWith("VA"), received + (retry == null ? "" : ", retried"));
     }
@@ -340,7 +347,7 @@
 
   // The deadline that attempts carry.
 
-  /** Reads the head of an attempt at the origin and gives its deadline in milliseconds. */
+  /** Reads the head of a request at the origin and returns its deadline label in milliseconds. */
   private static long readDeadlineLabel(Peer origin) throws Exception {
     long deadlineMs = -1;
     for (String line = origin.readLine(); !line.equals("\r\n"); line = origin.readLine()) {
--- a/src/test/java/pathgw/server/WarmUpTest.java
+++ b/src/test/java/pathgw/server/WarmUpTest.java
@@ -11,7 +11,7 @@
 import pathgw.transport.Connection;
 import pathgw.transport.FakeConnection;
 
-/** Requests that a proxy sends through itself before the first client is served. */
+/** Tests the requests that a proxy sends through itself before it serves clients. */
 class WarmUpTest extends NetworkFixture {
   private List<Connection> waitingClients;
 
