--- a/src/test/java/pathgw/ArchitectureTest.java
+++ b/src/test/java/pathgw/ArchitectureTest.java
@@ -10,7 +10,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Which packages and classes may depend on which. */
+/** Checks which packages and classes may depend on which. */
 class ArchitectureTest {
   private static final JavaClasses CLASSES =
       new ClassFileImporter()
@@ -33,7 +33,7 @@
                               c.isAssignableTo(Exception.class)
                                   || c.getSimpleName().equals("URLEncoder")))));
 
-  /** The classes of this program outside the given packages. */
+  /** The pathgw classes outside the given packages. */
   private static DescribedPredicate<JavaClass> ourPackagesExcept(String... packages) {
     return JavaClass.Predicates.resideInAPackage("pathgw..")
         .and(DescribedPredicate.not(JavaClass.Predicates.resideInAnyPackage(packages)));
@@ -41,7 +41,7 @@
 
   @Test
   void packagesHaveNoCycles() {
-    // Main alone, which starts the subcommands, depends on packages at the top.
+    // Main starts the subcommands, so it is the only class that may depend on all packages.
     JavaClasses withoutMain =
         CLASSES.that(DescribedPredicate.not(JavaClass.Predicates.simpleName("Main")));
     slices().matching("pathgw.(*)..").should().beFreeOfCycles().check(withoutMain);
@@ -52,7 +52,7 @@
         .check(withoutMain);
   }
 
-  /** Decisions depend only on the inputs of the caller, so that every driver gets the same ones. */
+  /** Decisions depend only on the caller's inputs, so that all callers get the same decisions. */
   @Test
   void decisionDependsOnlyOnAlgorithmAndAlgorithmOnNoOtherPackage() {
     noClasses()
@@ -86,7 +86,9 @@
         .check(CLASSES);
   }
 
-  /** It loads time zones and locales, which prolongs a start, in which no client is served. */
+  /**
+   * ObjectMapper loads time zones and locales, which delays the start, before clients are served.
+   */
   @Test
   void nothingDependsOnJacksonObjectMapper() {
     noClasses()
--- a/src/test/java/pathgw/KnownRedTest.java
+++ b/src/test/java/pathgw/KnownRedTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** How CI judges test reports by the list of tests that are known to fail. */
+/** Tests CI's check of test reports against the list of tests that are known to fail. */
 class KnownRedTest {
   private static final String LISTED_TEST = "pathgw.server.XTest#red, the node forgets, issue 7\n";
 
@@ -36,7 +36,7 @@
         + "'><failure>no</failure></testcase>";
   }
 
-  /** Runs the check and gives its exit status and its output. */
+  /** Runs the check and returns its exit status and output. */
   private String run(String list, boolean withReports) throws IOException, InterruptedException {
     Path file = folder.resolve("KNOWN-RED.txt");
     Files.deleteIfExists(file);
--- a/src/test/java/pathgw/RunScriptTest.java
+++ b/src/test/java/pathgw/RunScriptTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The script that starts a proxy, with a fake java that prints its arguments. */
+/** Tests the script that starts a proxy, with a fake java command that prints its arguments. */
 class RunScriptTest {
   @TempDir Path folder;
 
--- a/src/test/java/pathgw/cli/CliTest.java
+++ b/src/test/java/pathgw/cli/CliTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a shell sees of the commands: exit statuses and output. */
+/** Tests the exit statuses and the output of the commands. */
 class CliTest {
   private String output;
 
@@ -54,7 +54,7 @@
     Path kept = Files.writeString(dir.resolve("kept.txt"), "lasts 1000ms\n");
     assertEquals(0, run("simulate", "--script", kept.toString(), "--trace"));
     assertTrue(output.endsWith("all rules kept\n") && output.contains("client asks p0"), output);
-    // Ten times what all nodes can serve, for good: service cannot recover.
+    // The burst never ends and is ten times what all nodes can serve, so service cannot recover.
     Path broken =
         Files.writeString(
             dir.resolve("broken.txt"), "lasts 11000ms\nrate 20/s\nat 1000ms burst by 30\n");
