--- a/src/test/java/pathgw/discovery/DiscoveryTest.java
+++ b/src/test/java/pathgw/discovery/DiscoveryTest.java
@@ -139,10 +139,10 @@
     Discovery discovery = discovery();
     apply(discovery, completeList(5, "ready"));
     apply(discovery, change(4, "gone"));
-    client().gives(READ);
+    client().deliver(READ);
     assertEquals(1, dialled.size());
     apply(discovery, change(6, "draining"));
-    client().gives(READ);
+    client().deliver(READ);
     assertEquals(1, dialled.size(), "no new request once the node is draining");
   }
 
@@ -151,20 +151,20 @@
     Discovery discovery = discovery();
     discovery.watch();
     FakeConnection firstWatch = dialled.get(0);
-    firstWatch.gives(RESPONSE_HEAD + chunk(completeList(5, "ready")));
+    firstWatch.deliver(RESPONSE_HEAD + chunk(completeList(5, "ready")));
     discovery.watch();
     discovery.watch();
     assertEquals(2, dialled.size(), "one call at a time");
-    dialled.get(1).gives(UNAVAILABLE);
+    dialled.get(1).deliver(UNAVAILABLE);
     assertFalse(firstWatch.closed);
     discovery.watch();
-    firstWatch.gives(chunk(change(6, "draining")));
+    firstWatch.deliver(chunk(change(6, "draining")));
     apply(discovery, completeList(5, "ready"));
-    client().gives(READ);
+    client().deliver(READ);
     assertEquals(3, dialled.size(), "no request to a node that the open watch says is draining");
-    dialled.get(2).gives(RESPONSE_HEAD + chunk(completeList(7, "ready")));
+    dialled.get(2).deliver(RESPONSE_HEAD + chunk(completeList(7, "ready")));
     assertTrue(firstWatch.closed);
-    client().gives(READ);
+    client().deliver(READ);
     assertEquals(4, dialled.size());
   }
 
@@ -179,15 +179,15 @@
     assertTrue(dialled.get(0).closed, "but not until a missed update may be in effect");
     assertEquals(2, dialled.size());
     dialled.remove(0);
-    dialled.get(0).gives(RESPONSE_HEAD + chunk(completeList(5, "ready")));
+    dialled.get(0).deliver(RESPONSE_HEAD + chunk(completeList(5, "ready")));
     runForMillis(2100);
-    dialled.get(0).gives(EMPTY_LINE);
+    dialled.get(0).deliver(EMPTY_LINE);
     runForMillis(2200);
     assertEquals(1, dialled.size(), "one line may be late");
     runForMillis(350);
     assertEquals(2, dialled.size(), "another watch is opened within 2.5 s of the last line");
     assertFalse(dialled.get(0).closed, "the line may only be late");
-    dialled.get(1).gives(RESPONSE_HEAD + chunk(change(5, "ready")));
+    dialled.get(1).deliver(RESPONSE_HEAD + chunk(change(5, "ready")));
     assertTrue(dialled.get(0).closed);
     runForMillis(2300);
     assertEquals(2, dialled.size());
@@ -200,9 +200,9 @@
     connectToEngine(discovery);
     driver.submit(engine -> {});
     FakeConnection silentWatch = dialled.get(0);
-    silentWatch.gives(RESPONSE_HEAD + chunk(completeList(5, "ready")));
+    silentWatch.deliver(RESPONSE_HEAD + chunk(completeList(5, "ready")));
     passAnsweringCalls(
-        EFFECTIVE_AFTER_MS - 100, silentWatch, connection -> connection.gives(UNAVAILABLE));
+        EFFECTIVE_AFTER_MS - 100, silentWatch, connection -> connection.deliver(UNAVAILABLE));
     int calls = dialled.size() - 1;
     assertTrue(calls >= 4 && calls <= 8, calls + " calls by one proxy before the lease expires");
     sendRead();
@@ -211,11 +211,11 @@
     sendRead();
     sendRead();
     assertEquals(1, attemptCount(), "a quarter of the fleet may be draining");
-    silentWatch.gives(EMPTY_LINE);
+    silentWatch.deliver(EMPTY_LINE);
     sendRead();
     assertEquals(1, attemptCount(), "a watch that was silent may have missed an update");
     discovery.watch();
-    lastDialled().gives(RESPONSE_HEAD + chunk(change(5, "ready")));
+    lastDialled().deliver(RESPONSE_HEAD + chunk(change(5, "ready")));
     sendRead();
     assertEquals(2, attemptCount(), "complete service at once");
   }
@@ -229,7 +229,7 @@
     Discovery discovery = discovery();
     connectToEngine(discovery);
     driver.submit(engine -> {});
-    dialled.get(0).gives(RESPONSE_HEAD + chunk(completeList(5, "ready")));
+    dialled.get(0).deliver(RESPONSE_HEAD + chunk(completeList(5, "ready")));
     sendRead();
     runForMillis(1500);
     dialled.get(0).breaks();
@@ -240,7 +240,7 @@
     sendRead();
     assertEquals(2, attemptCount());
     discovery.watch();
-    lastDialled().gives(RESPONSE_HEAD + chunk(change(5, "ready")));
+    lastDialled().deliver(RESPONSE_HEAD + chunk(change(5, "ready")));
     sendRead();
     assertEquals(3, attemptCount(), "complete service at once");
   }
@@ -257,7 +257,7 @@
     Discovery discovery = discovery(pushed, RestoredSnapshots.none());
     connectToEngine(discovery);
     discovery.reportLease();
-    dialled.get(0).gives(RESPONSE_HEAD + chunk(completeList(5, "ready")));
+    dialled.get(0).deliver(RESPONSE_HEAD + chunk(completeList(5, "ready")));
     dialled.get(0).breaks();
     sendRead();
     assertEquals(0, attemptCount(), "with no watch every update may be in effect");
@@ -269,7 +269,7 @@
     while (lastDialled().closed) {
       runForMillis(10);
     }
-    lastDialled().gives(RESPONSE_HEAD + chunk(change(5, "ready")));
+    lastDialled().deliver(RESPONSE_HEAD + chunk(change(5, "ready")));
     sendRead();
     assertEquals(1, attemptCount());
   }
@@ -319,7 +319,7 @@
     Discovery discovery = discovery();
     apply(discovery, completeList(5, "ready"));
     FakeConnection client = client();
-    client.gives(READ);
+    client.deliver(READ);
     apply(discovery, change(6, health));
     assertTrue(
         client.written.toString().startsWith("SERVER_ERROR busy"),
@@ -333,14 +333,14 @@
   void listOverManyLinesIsReadAsOne() {
     Discovery discovery = discovery();
     discovery.watch();
-    dialled.get(0).gives(RESPONSE_HEAD + chunk(completeList(5, "ready")));
+    dialled.get(0).deliver(RESPONSE_HEAD + chunk(completeList(5, "ready")));
     String indented =
         change(6, "draining")
             .replace("{", "{\n  ")
             .replace(",\"", ",\n  \"")
             .replace("\"site\":\"here\"", "\"site\":\"a } \\\" {\"");
-    dialled.get(0).gives(chunk(indented));
-    client().gives(READ);
+    dialled.get(0).deliver(chunk(indented));
+    client().deliver(READ);
     assertEquals(1, dialled.size(), "the node is draining");
     assertFalse(dialled.get(0).closed);
   }
@@ -349,13 +349,13 @@
   void completeListOfServiceThatRestartedItsCountIsApplied() {
     Discovery discovery = discovery();
     discovery.watch();
-    dialled.get(0).gives(RESPONSE_HEAD + chunk(completeList(41, "ready")));
+    dialled.get(0).deliver(RESPONSE_HEAD + chunk(completeList(41, "ready")));
     discovery.watch();
-    dialled.get(1).gives(RESPONSE_HEAD + chunk(completeList(2, "draining")));
-    client().gives(READ);
+    dialled.get(1).deliver(RESPONSE_HEAD + chunk(completeList(2, "draining")));
+    client().deliver(READ);
     assertEquals(2, dialled.size());
-    dialled.get(1).gives(chunk(change(3, "ready")));
-    client().gives(READ);
+    dialled.get(1).deliver(chunk(change(3, "ready")));
+    client().deliver(READ);
     assertEquals(3, dialled.size());
   }
 
@@ -364,16 +364,16 @@
     Discovery discovery = discovery();
     discovery.watch();
     FakeConnection formerWatch = dialled.get(0);
-    formerWatch.gives(RESPONSE_HEAD + chunk(completeList(5, "ready")));
+    formerWatch.deliver(RESPONSE_HEAD + chunk(completeList(5, "ready")));
     discovery.moveTo(OTHER_SERVICE);
     assertFalse(formerWatch.closed, "it lasts until the new service delivers a list");
     apply(discovery, completeList(2, "draining"));
-    formerWatch.gives(chunk(change(6, "ready")));
-    client().gives(READ);
+    formerWatch.deliver(chunk(change(6, "ready")));
+    client().deliver(READ);
     assertEquals(2, dialled.size());
-    dialled.get(1).gives(RESPONSE_HEAD + chunk(completeList(3, "ready")));
+    dialled.get(1).deliver(RESPONSE_HEAD + chunk(completeList(3, "ready")));
     assertTrue(formerWatch.closed);
-    client().gives(READ);
+    client().deliver(READ);
     assertEquals(3, dialled.size());
   }
 
@@ -391,7 +391,7 @@
         dialled.stream().map(connection -> connection.written.toString()).toList());
     assertTrue(dialled.get(0).closed, "the pending watch of the former service is cancelled");
     apply(discovery, change(2, "draining"));
-    client().gives(READ);
+    client().deliver(READ);
     assertEquals(2, dialled.size(), "versions of two services are not compared");
   }
 }
--- a/src/test/java/pathgw/discovery/HttpExchangeTest.java
+++ b/src/test/java/pathgw/discovery/HttpExchangeTest.java
@@ -45,7 +45,7 @@
   private void respond(String bytes) {
     exchange.start(connection, new Address("127.0.0.1", 1), "/x");
     for (int i = 0; i < bytes.length(); i++) {
-      connection.gives(bytes.substring(i, i + 1));
+      connection.deliver(bytes.substring(i, i + 1));
     }
   }
 
@@ -58,7 +58,7 @@
   void linesAreReceivedAsSoonAsTheyAreCompleteHoweverChunked() {
     respond(CHUNKED_HEAD + "1\r\na\r\n4;x=y\r\nb\n\nc\r\n2\r\nd\n\r\n");
     assertReceived(List.of("ab", "", "cd"), List.of());
-    connection.gives("0\r\n");
+    connection.deliver("0\r\n");
     assertReceived(List.of("ab", "", "cd"), List.of(COMPLETE));
     assertTrue(connection.closed);
   }
--- a/src/test/java/pathgw/server/ClientLimitsTest.java
+++ b/src/test/java/pathgw/server/ClientLimitsTest.java
@@ -16,7 +16,7 @@
     List<ClientConnection> clients = new ArrayList<>();
     for (String command : new String[] {"mn\r\n", READ, "mn\r\n", "mn\r\n", ""}) {
       advanceMillis(60);
-      client().gives(command);
+      client().deliver(command);
       clients.add(client);
     }
     advanceMillis(1);
--- a/src/test/java/pathgw/server/FleetSizeTest.java
+++ b/src/test/java/pathgw/server/FleetSizeTest.java
@@ -104,7 +104,7 @@
             + "\r\n";
     for (int at = 0; at < response.length(); at += SEGMENT_BYTES) {
       int end = Math.min(response.length(), at + SEGMENT_BYTES);
-      transport.dialled.get(0).gives(response.substring(at, end));
+      transport.dialled.get(0).deliver(response.substring(at, end));
     }
   }
 
@@ -114,7 +114,7 @@
     for (int i = 0; i < count; i++) {
       FakeConnection client = new FakeConnection();
       new ClientConnection(client, config, timers, requestHandler, limitedLog, c -> {});
-      client.gives("mg k" + i + " v Oa" + i + " Pc=read,t=one,d=480\r\n");
+      client.deliver("mg k" + i + " v Oa" + i + " Pc=read,t=one,d=480\r\n");
     }
   }
 
--- a/src/test/java/pathgw/server/WarmUpTest.java
+++ b/src/test/java/pathgw/server/WarmUpTest.java
@@ -33,7 +33,7 @@
     FakeConnection client = new FakeConnection();
     client.from = "127.9.0.1";
     warmUp.accept(client, 2);
-    client.gives("mn\r\n");
+    client.deliver("mn\r\n");
     assertEquals("", client.written.toString());
   }
 
--- a/src/test/java/pathgw/transport/FakeConnection.java
+++ b/src/test/java/pathgw/transport/FakeConnection.java
@@ -22,7 +22,7 @@
   private Consumer<CloseReason> onClose;
   private Runnable onWritable;
 
-  public void gives(String bytes) {
+  public void deliver(String bytes) {
     if (reader != null) {
       reader.accept(Buffer.buffer(bytes));
     }
--- a/src/test/java/pathgw/upstream/ConnectionPoolTest.java
+++ b/src/test/java/pathgw/upstream/ConnectionPoolTest.java
@@ -111,16 +111,16 @@
   @Test
   void valueIsForwardedUnchanged() throws MalformedCommandException {
     FakeConnection node = sendOnNewPool();
-    node.gives("VA 2 Oa1 h");
-    node.gives("1\r\n\r\n");
+    node.deliver("VA 2 Oa1 h");
+    node.deliver("1\r\n\r\n");
     assertEquals(List.of(), ends);
-    node.gives("\r\n");
+    node.deliver("\r\n");
     assertEquals(List.of("ANSWERED VA 2 Oa1 h1\r\n\r\n\r\n"), ends);
   }
 
   @Test
   void replyToAnotherRequestIsAProtocolError() throws MalformedCommandException {
-    sendOnNewPool().gives("VA 2 Ob2\r\nhi\r\n");
+    sendOnNewPool().deliver("VA 2 Ob2\r\nhi\r\n");
     assertEquals(List.of("PROTOCOL_ERROR"), ends);
     assertTrue(dialled.get(0).closed);
   }
@@ -130,7 +130,7 @@
     for (String line :
         new String[] {"EN Oa1", "SERVER_ERROR busy", "SERVER_ERROR failed", "HD Oa1 c9", "VA x"}) {
       pool(1).send(attempt(line.startsWith("HD") ? "ms k1 1 Oa1 Pc=write" : READ));
-      dialled.get(dialled.size() - 1).gives(line + "\r\n");
+      dialled.get(dialled.size() - 1).deliver(line + "\r\n");
     }
     assertEquals(
         List.of("MISS", "REJECTED", "FAILED", "ANSWERED HD Oa1 c9\r\n", "PROTOCOL_ERROR"), ends);
@@ -140,10 +140,10 @@
   void settledConnectionIsReusedAndExpiredOneIsClosed() throws MalformedCommandException {
     ConnectionPool pool = pool(2);
     pool.send(attempt());
-    dialled.get(0).gives("EN Oa1\r\n");
+    dialled.get(0).deliver("EN Oa1\r\n");
     pool.send(attempt());
     assertEquals(2, dialled.size(), "surplus bytes may follow the reply");
-    dialled.get(1).gives("EN Oa1\r\n");
+    dialled.get(1).deliver("EN Oa1\r\n");
     advanceMillis(2);
     pool.send(attempt());
     assertEquals(2, dialled.size(), "a settled connection is reused");
@@ -159,7 +159,7 @@
     one.send(attempt());
     other.send(attempt());
     assertEquals(List.of("NOT_TRIED"), ends, "a connection in use is not closed");
-    dialled.get(0).gives("EN Oa1\r\n");
+    dialled.get(0).deliver("EN Oa1\r\n");
     other.send(attempt());
     assertTrue(dialled.get(0).closed);
     assertEquals(2, dialled.size());
@@ -170,7 +170,7 @@
     setReadyNodes("n1", "n2");
     pools.send(MetaCommand.hash("n1"), attempt());
     pools.send(MetaCommand.hash("n2"), attempt());
-    dialled.get(0).gives("EN Oa1\r\n");
+    dialled.get(0).deliver("EN Oa1\r\n");
     pools.send(MetaCommand.hash("n1"), attempt());
     driver.closeIdle(MetaCommand.hash("n1"));
     assertTrue(dialled.get(0).closed);
@@ -181,7 +181,7 @@
   void nodeStaysReachableAfterItsIdleConnectionsAreClosed() throws MalformedCommandException {
     setReadyNodes("n1");
     pools.send(MetaCommand.hash("n1"), attempt());
-    dialled.get(0).gives("EN Oa1\r\n");
+    dialled.get(0).deliver("EN Oa1\r\n");
     pools.closeIdle();
     assertTrue(dialled.get(0).closed);
     pools.send(MetaCommand.hash("n1"), attempt());
@@ -195,23 +195,23 @@
       ConnectionPool pool = pool(2);
       pool.send(attempt());
       FakeConnection node = dialled.get(dialled.size() - 1);
-      node.gives("VA 2 Oa1\r\nhi\r\n" + surplus);
+      node.deliver("VA 2 Oa1\r\nhi\r\n" + surplus);
       assertTrue(node.closed);
     }
     assertEquals(Set.of("ANSWERED VA 2 Oa1\r\nhi\r\n"), Set.copyOf(ends));
     pool(1).send(attempt());
     FakeConnection later = dialled.get(dialled.size() - 1);
-    later.gives("EN Oa1\r\n");
-    later.gives("?");
+    later.deliver("EN Oa1\r\n");
+    later.deliver("?");
     assertTrue(later.closed, "surplus bytes may also arrive after the reply");
   }
 
   @Test
   void replyThatStallsHalfWayIsAProtocolError() throws MalformedCommandException {
     FakeConnection node = sendOnNewPool();
-    node.gives("VA 9 Oa1\r\nhi");
+    node.deliver("VA 9 Oa1\r\nhi");
     advanceMillis(100);
-    node.gives("ho");
+    node.deliver("ho");
     advanceMillis(100);
     assertEquals(List.of(), ends);
     advanceMillis(100);
@@ -221,9 +221,9 @@
 
   @Test
   void replyOfWrongKindOrCutOffIsNotForwarded() throws MalformedCommandException {
-    sendOnNewPool().gives("HD Oa1 c9\r\n");
+    sendOnNewPool().deliver("HD Oa1 c9\r\n");
     pool(1).send(attempt());
-    dialled.get(1).gives("VA 2 Oa1\r\nhi\r");
+    dialled.get(1).deliver("VA 2 Oa1\r\nhi\r");
     dialled.get(1).breaks();
     assertEquals(List.of("PROTOCOL_ERROR", "BROKE_AFTER_LAST_BYTE"), ends);
   }
@@ -233,7 +233,7 @@
     setReadyNodes("n1");
     pools.send(MetaCommand.hash("n1"), attempt());
     pools.remove(MetaCommand.hash("n1"));
-    dialled.get(0).gives("EN Oa1\r\n");
+    dialled.get(0).deliver("EN Oa1\r\n");
     assertEquals(List.of("MISS"), ends, "the attempt in flight is completed");
     assertTrue(dialled.get(0).closed);
   }
@@ -242,7 +242,7 @@
   void idleConnectionsAreClosedWhenTheirNodeRestarts() throws MalformedCommandException {
     setReadyNodes("n1");
     pools.send(MetaCommand.hash("n1"), attempt());
-    dialled.get(0).gives("EN Oa1\r\n");
+    dialled.get(0).deliver("EN Oa1\r\n");
     pools.update(new Endpoint("n1", TEST_ADDRESS, EndpointState.READY, 7, 0, 0, 0));
     assertTrue(dialled.get(0).closed);
   }
--- a/src/test/java/pathgw/upstream/OriginConnectionTest.java
+++ b/src/test/java/pathgw/upstream/OriginConnectionTest.java
@@ -20,7 +20,7 @@
   private String attemptAtOrigin(String command, String response) throws MalformedCommandException {
     pool(new ConnectionLimit(1), () -> new HttpOriginCodec(TEST_ADDRESS)).send(attempt(command));
     FakeConnection connection = dialled.get(dialled.size() - 1);
-    connection.gives(response);
+    connection.deliver(response);
     return (ends.isEmpty() ? "nothing" : ends.remove(0)) + (connection.closed ? " closed" : "");
   }
 
@@ -65,7 +65,7 @@
   void responseWithoutLengthIsCompleteOnlyAtEndOfStream() throws MalformedCommandException {
     String head = "HTTP/1.1 200 OK\r\nX-Txn: a1\r\n\r\n";
     assertEquals("nothing", attemptAtOrigin(READ, head + "h"));
-    dialled.get(0).gives("i");
+    dialled.get(0).deliver("i");
     dialled.get(0).ends();
     assertEquals(List.of("ANSWERED VA 2 Oa1\r\nhi\r\n"), ends);
     ends.clear();
