--- a/src/test/java/pathgw/discovery/DiscoveryTest.java
+++ b/src/test/java/pathgw/discovery/DiscoveryTest.java
@@ -232,8 +232,8 @@
     dialled.get(0).deliver(RESPONSE_HEAD + chunk(completeList(5, "ready")));
     sendRead();
     runForMillis(1500);
-    dialled.get(0).breaks();
-    passAnsweringCalls(EFFECTIVE_AFTER_MS - 100 - 1500, null, FakeConnection::breaks);
+    dialled.get(0).reset();
+    passAnsweringCalls(EFFECTIVE_AFTER_MS - 100 - 1500, null, FakeConnection::reset);
     sendRead();
     assertEquals(2, attemptCount(), "until 6 s after the line");
     runForMillis(110);
@@ -258,7 +258,7 @@
     connectToEngine(discovery);
     discovery.reportLease();
     dialled.get(0).deliver(RESPONSE_HEAD + chunk(completeList(5, "ready")));
-    dialled.get(0).breaks();
+    dialled.get(0).reset();
     sendRead();
     assertEquals(0, attemptCount(), "with no watch every update may be in effect");
     for (int calls = 1; calls < 8; calls++) {
@@ -297,7 +297,7 @@
     apply(discovery, list(7, false, restarted));
     sendRead();
     assertEquals(2, attemptCount());
-    assertEquals(1, first.timesWritten, "the restarted node has a connection of its own");
+    assertEquals(1, first.writeCount, "the restarted node has a connection of its own");
   }
 
   @ParameterizedTest
--- a/src/test/java/pathgw/discovery/HttpExchangeTest.java
+++ b/src/test/java/pathgw/discovery/HttpExchangeTest.java
@@ -72,7 +72,7 @@
   @Test
   void truncatedLineIsNotReceived() {
     respond(CHUNKED_HEAD + "4\r\n{\"a\"\r\n");
-    connection.breaks();
+    connection.reset();
     assertReceived(List.of(), List.of(CONNECTION_LOST));
   }
 
@@ -87,7 +87,7 @@
   @Test
   void responseWithoutLengthIsTruncatedByReset() {
     respond(HEAD + "{}");
-    connection.breaks();
+    connection.reset();
     assertReceived(List.of(), List.of(CONNECTION_LOST));
   }
 
@@ -96,7 +96,7 @@
     respond("HTTP/1.1 503 No\r\ncontent-length: 1\r\n\r\nx");
     List<CallEnd> expected = List.of(new CallEnd(CallEnd.Reason.UNEXPECTED_STATUS, "503"));
     assertReceived(List.of(), expected);
-    connection.breaks();
+    connection.reset();
     assertReceived(List.of(), expected);
   }
 
--- a/src/test/java/pathgw/transport/FakeConnection.java
+++ b/src/test/java/pathgw/transport/FakeConnection.java
@@ -9,13 +9,13 @@
 /** A connection whose other side is the test: it sees what is written and supplies what is read. */
 public final class FakeConnection implements Connection {
   public final StringBuilder written = new StringBuilder();
-  public int timesWritten;
+  public int writeCount;
   public boolean closed;
-  public boolean endsWriting;
-  public boolean full;
+  public boolean outputShutDown;
+  public boolean writeQueueFull;
 
   /** Whether what is written reaches the network. */
-  public boolean writes = true;
+  public boolean completesWrites = true;
 
   public String from = "127.0.0.1";
   private Consumer<Buffer> reader;
@@ -28,12 +28,12 @@
     }
   }
 
-  public void drains() {
-    full = false;
+  public void drainWriteQueue() {
+    writeQueueFull = false;
     onWritable.run();
   }
 
-  public void breaks() {
+  public void reset() {
     close(CloseReason.BROKEN);
   }
 
@@ -67,13 +67,13 @@
   @Override
   public Future<Void> write(Buffer bytes) {
     written.append(bytes);
-    timesWritten++;
-    return writes ? Future.succeededFuture() : Promise.<Void>promise().future();
+    writeCount++;
+    return completesWrites ? Future.succeededFuture() : Promise.<Void>promise().future();
   }
 
   @Override
   public boolean isWriteQueueFull() {
-    return full;
+    return writeQueueFull;
   }
 
   @Override
@@ -84,12 +84,12 @@
 
   @Override
   public void close() {
-    breaks();
+    reset();
   }
 
   @Override
   public void shutdownOutput() {
-    endsWriting = true;
+    outputShutDown = true;
   }
 
   @Override
--- a/src/test/java/pathgw/upstream/ConnectionPoolFixture.java
+++ b/src/test/java/pathgw/upstream/ConnectionPoolFixture.java
@@ -58,7 +58,7 @@
   /** Sends an attempt on a connection whose bytes never reach the network. */
   protected FakeConnection sendWithoutWriting() throws MalformedCommandException {
     Future<Connection> connection = dial(TEST_ADDRESS);
-    dialled.get(0).writes = false;
+    dialled.get(0).completesWrites = false;
     pool(address -> connection, new ConnectionLimit(1)).send(attempt());
     return dialled.get(0);
   }
--- a/src/test/java/pathgw/upstream/ConnectionPoolTest.java
+++ b/src/test/java/pathgw/upstream/ConnectionPoolTest.java
@@ -48,13 +48,13 @@
 
   @Test
   void requestWhoseConnectionBreaksBeforeLastByteNeverRan() throws MalformedCommandException {
-    sendWithoutWriting().breaks();
+    sendWithoutWriting().reset();
     assertEquals(List.of("BROKE_BEFORE_LAST_BYTE"), ends);
   }
 
   @Test
   void requestWhoseConnectionBreaksAfterLastByteMayHaveRun() throws MalformedCommandException {
-    sendOnNewPool().breaks();
+    sendOnNewPool().reset();
     assertEquals(List.of("BROKE_AFTER_LAST_BYTE"), ends);
   }
 
@@ -224,7 +224,7 @@
     sendOnNewPool().deliver("HD Oa1 c9\r\n");
     pool(1).send(attempt());
     dialled.get(1).deliver("VA 2 Oa1\r\nhi\r");
-    dialled.get(1).breaks();
+    dialled.get(1).reset();
     assertEquals(List.of("PROTOCOL_ERROR", "BROKE_AFTER_LAST_BYTE"), ends);
   }
 
--- a/src/test/java/pathgw/upstream/OriginConnectionTest.java
+++ b/src/test/java/pathgw/upstream/OriginConnectionTest.java
@@ -70,7 +70,7 @@
     assertEquals(List.of("ANSWERED VA 2 Oa1\r\nhi\r\n"), ends);
     ends.clear();
     assertEquals("nothing", attemptAtOrigin(READ, head + "hi"));
-    dialled.get(1).breaks();
+    dialled.get(1).reset();
     assertEquals(List.of("BROKE_AFTER_LAST_BYTE"), ends);
     ends.clear();
     assertEquals("nothing", attemptAtOrigin(READ, head.replace("\r\n\r\n", "\r\n")));
