--- a/src/test/java/pathgw/discovery/DiscoveryTest.java
+++ b/src/test/java/pathgw/discovery/DiscoveryTest.java
@@ -315,7 +315,7 @@
             CONFIG,
             8);
     requestHandler =
-        new RequestHandler(timers, driver, pools, CONFIG.answerSlack(), RequestObserver.NONE);
+        new RequestHandler(timers, driver, pools, CONFIG.responseSlack(), RequestObserver.NONE);
     Discovery discovery = discovery();
     apply(discovery, completeList(5, "ready"));
     FakeConnection client = client();
