--- a/src/main/java/pathgw/simulation/network/SimulatedTransport.java
+++ b/src/main/java/pathgw/simulation/network/SimulatedTransport.java
@@ -51,7 +51,7 @@
   }
 
   @Override
-  public long nanos() {
+  public long monotonicNanos() {
     return events.now();
   }
 
@@ -61,7 +61,7 @@
   }
 
   @Override
-  public Runnable after(Duration delay, Runnable action) {
+  public Runnable runAfter(Duration delay, Runnable action) {
     return events.in(delay.toNanos(), process, action)::cancel;
   }
 
@@ -89,7 +89,7 @@
   }
 
   @Override
-  public BiConsumer<Buffer, Address> datagrams(
+  public BiConsumer<Buffer, Address> bindDatagramSocket(
       Address address, BiConsumer<Buffer, Address> handler) {
     network.receiveDatagrams(address, process, handler);
     return (bytes, target) -> network.sendDatagram(address, bytes, target, broadcastAddress);
--- a/src/test/java/pathgw/server/DelayedDialTransport.java
+++ b/src/test/java/pathgw/server/DelayedDialTransport.java
@@ -26,8 +26,8 @@
   }
 
   @Override
-  public long nanos() {
-    return delegate.nanos();
+  public long monotonicNanos() {
+    return delegate.monotonicNanos();
   }
 
   @Override
@@ -36,8 +36,8 @@
   }
 
   @Override
-  public Runnable after(Duration delay, Runnable task) {
-    return delegate.after(delay, task);
+  public Runnable runAfter(Duration delay, Runnable task) {
+    return delegate.runAfter(delay, task);
   }
 
   @Override
@@ -56,7 +56,8 @@
   }
 
   @Override
-  public BiConsumer<Buffer, Address> datagrams(Address at, BiConsumer<Buffer, Address> onDatagram) {
-    return delegate.datagrams(at, onDatagram);
+  public BiConsumer<Buffer, Address> bindDatagramSocket(
+      Address at, BiConsumer<Buffer, Address> onDatagram) {
+    return delegate.bindDatagramSocket(at, onDatagram);
   }
 }
--- a/src/test/java/pathgw/server/FleetSizeTest.java
+++ b/src/test/java/pathgw/server/FleetSizeTest.java
@@ -135,7 +135,7 @@
     assertEquals(FLEET_SIZE, config.peers().size());
     assertEquals(FLEET_SIZE, config.settings().proxies());
     EventLoopTimers timers =
-        new EventLoopTimers(transport::nanos, transport.unixMillis(), transport::after);
+        new EventLoopTimers(transport::monotonicNanos, transport.unixMillis(), transport::runAfter);
     DecisionDriver driver = new DecisionDriver(timers, new DecisionEngine(config.settings(), 1));
     UpstreamPools pools = new UpstreamPools(this::dial, this::dial, timers, config, 400);
     Discovery discovery =
--- a/src/test/java/pathgw/server/ManualTransport.java
+++ b/src/test/java/pathgw/server/ManualTransport.java
@@ -20,14 +20,14 @@
   Consumer<Connection> onAccept;
   BiConsumer<Buffer, Address> onDatagram;
   private final List<Timer> timers = new ArrayList<>();
-  private long nanos;
+  private long monotonicNanos;
 
   /** Advances the time in steps of 1 ms and runs the timers that are due. */
   void runForMillis(long ms) {
     for (long elapsed = 0; elapsed < ms; elapsed++) {
-      nanos += 1_000_000;
+      monotonicNanos += 1_000_000;
       for (Timer timer : List.copyOf(timers)) {
-        if (timer.dueNanos <= nanos && timers.remove(timer)) {
+        if (timer.dueNanos <= monotonicNanos && timers.remove(timer)) {
           timer.task.run();
         }
       }
@@ -35,8 +35,8 @@
   }
 
   @Override
-  public long nanos() {
-    return nanos;
+  public long monotonicNanos() {
+    return monotonicNanos;
   }
 
   @Override
@@ -45,8 +45,8 @@
   }
 
   @Override
-  public Runnable after(Duration delay, Runnable task) {
-    Timer timer = new Timer(nanos + delay.toNanos(), task);
+  public Runnable runAfter(Duration delay, Runnable task) {
+    Timer timer = new Timer(monotonicNanos + delay.toNanos(), task);
     timers.add(timer);
     return () -> timers.remove(timer);
   }
@@ -65,7 +65,8 @@
   }
 
   @Override
-  public BiConsumer<Buffer, Address> datagrams(Address at, BiConsumer<Buffer, Address> onDatagram) {
+  public BiConsumer<Buffer, Address> bindDatagramSocket(
+      Address at, BiConsumer<Buffer, Address> onDatagram) {
     this.onDatagram = onDatagram;
     return (bytes, to) -> {};
   }
--- a/src/test/java/pathgw/simulation/MutatedTransport.java
+++ b/src/test/java/pathgw/simulation/MutatedTransport.java
@@ -44,8 +44,8 @@
   }
 
   @Override
-  public long nanos() {
-    return original.nanos();
+  public long monotonicNanos() {
+    return original.monotonicNanos();
   }
 
   @Override
@@ -54,8 +54,8 @@
   }
 
   @Override
-  public Runnable after(Duration delay, Runnable action) {
-    return original.after(delay, action);
+  public Runnable runAfter(Duration delay, Runnable action) {
+    return original.runAfter(delay, action);
   }
 
   @Override
@@ -69,8 +69,8 @@
   }
 
   @Override
-  public BiConsumer<Buffer, Address> datagrams(
+  public BiConsumer<Buffer, Address> bindDatagramSocket(
       Address address, BiConsumer<Buffer, Address> handler) {
-    return original.datagrams(address, handler);
+    return original.bindDatagramSocket(address, handler);
   }
 }
--- a/src/test/java/pathgw/simulation/SeededBugTest.java
+++ b/src/test/java/pathgw/simulation/SeededBugTest.java
@@ -47,7 +47,7 @@
 
               private void resend(Buffer lost) {
                 if (lost != null && lost.toString().contains("c=" + requestClass)) {
-                  transport.after(
+                  transport.runAfter(
                       delay,
                       () ->
                           transport
@@ -184,7 +184,8 @@
                   public void onClose(Consumer<CloseReason> handler) {
                     delegate.onClose(
                         reason ->
-                            transport.after(Duration.ofMillis(600), () -> handler.accept(reason)));
+                            transport.runAfter(
+                                Duration.ofMillis(600), () -> handler.accept(reason)));
                   }
                 }));
   }
@@ -230,7 +231,7 @@
                     if (!bytes.toString().startsWith("SERVER_ERROR busy")) {
                       return delegate.write(bytes);
                     }
-                    transport.after(Duration.ofMillis(100), () -> delegate.write(bytes));
+                    transport.runAfter(Duration.ofMillis(100), () -> delegate.write(bytes));
                     return Future.succeededFuture();
                   }
                 }));
--- a/src/test/java/pathgw/simulation/SeededEndpointBugTest.java
+++ b/src/test/java/pathgw/simulation/SeededEndpointBugTest.java
@@ -32,7 +32,8 @@
                   public void onData(Consumer<Buffer> handler) {
                     delegate.onData(
                         bytes ->
-                            transport.after(Duration.ofMillis(1200), () -> handler.accept(bytes)));
+                            transport.runAfter(
+                                Duration.ofMillis(1200), () -> handler.accept(bytes)));
                   }
                 }));
   }
@@ -50,7 +51,7 @@
               }
 
               private void repeat(Runnable emptyLine) {
-                transport.after(
+                transport.runAfter(
                     Duration.ofSeconds(2),
                     () -> {
                       emptyLine.run();
