--- a/src/test/java/pathgw/discovery/EndpointTest.java
+++ b/src/test/java/pathgw/discovery/EndpointTest.java
@@ -35,6 +35,6 @@
     assertEquals(
         List.of(new Endpoint("s", new Address("10.0.0.1", 5), EndpointState.DRAINING, 7, 1, 0, 3)),
         new EndpointParser(CONFIG).parse(list));
-    assertEquals(Duration.ofSeconds(-999), timers.since(1000));
+    assertEquals(Duration.ofSeconds(-999), timers.sinceStart(1000));
   }
 }
