--- a/src/test/java/pathgw/discovery/DiscoveryTest.java
+++ b/src/test/java/pathgw/discovery/DiscoveryTest.java
@@ -365,7 +365,7 @@
     discovery.watch();
     FakeConnection formerWatch = dialled.get(0);
     formerWatch.deliver(RESPONSE_HEAD + chunk(completeList(5, "ready")));
-    discovery.moveTo(OTHER_SERVICE);
+    discovery.switchService(OTHER_SERVICE);
     assertFalse(formerWatch.closed, "it lasts until the new service delivers a list");
     apply(discovery, completeList(2, "draining"));
     formerWatch.deliver(chunk(change(6, "ready")));
@@ -382,8 +382,8 @@
     Discovery discovery = discovery();
     discovery.watch();
     apply(discovery, completeList(5, "ready"));
-    discovery.moveTo(CONFIG.discovery());
-    discovery.moveTo(OTHER_SERVICE);
+    discovery.switchService(CONFIG.discovery());
+    discovery.switchService(OTHER_SERVICE);
     assertEquals(
         List.of(
             "GET /discovery/hosts?follow=1 HTTP/1.1\r\nHost: 127.0.0.1:1\r\n\r\n",
--- a/src/test/java/pathgw/discovery/EndpointListLeaseTest.java
+++ b/src/test/java/pathgw/discovery/EndpointListLeaseTest.java
@@ -9,8 +9,8 @@
 class EndpointListLeaseTest {
   private static final Duration POLL_INTERVAL = at(10);
 
-  private final EndpointListLease polled = new EndpointListLease(false, POLL_INTERVAL);
-  private final EndpointListLease pushed = new EndpointListLease(true, POLL_INTERVAL);
+  private final EndpointListLease pollLease = new EndpointListLease(false, POLL_INTERVAL);
+  private final EndpointListLease pushLease = new EndpointListLease(true, POLL_INTERVAL);
 
   private static Duration at(long seconds) {
     return Duration.ofSeconds(seconds);
@@ -18,25 +18,25 @@
 
   @Test
   void silentWatchIsValidForSixSecondsWhateverFailsMeanwhile() {
-    polled.watchOpened(at(1));
-    polled.watchEventReceived(at(3));
-    polled.watchSilent(at(3));
-    polled.pollAnswered(at(6));
-    polled.watchClosed(at(7));
-    polled.watchEventReceived(at(8));
-    assertEquals(at(9), polled.validUntil());
-    polled.watchOpened(at(12));
-    assertEquals(at(18), polled.validUntil());
+    pollLease.watchOpened(at(1));
+    pollLease.watchEventReceived(at(3));
+    pollLease.watchSilent(at(3));
+    pollLease.pollAnswered(at(6));
+    pollLease.watchClosed(at(7));
+    pollLease.watchEventReceived(at(8));
+    assertEquals(at(9), pollLease.validUntil());
+    pollLease.watchOpened(at(12));
+    assertEquals(at(18), pollLease.validUntil());
   }
 
   @Test
   void withoutWatchListIsValidForSixSecondsAfterLastData() {
-    assertEquals(at(6), polled.validUntil(), "from the start of the proxy");
-    polled.watchOpened(at(1));
-    polled.watchClosed(at(2));
-    assertEquals(at(7), polled.validUntil(), "the end of a watch does not extend the lease");
-    polled.pollAnswered(at(5));
-    assertEquals(at(11), polled.validUntil());
+    assertEquals(at(6), pollLease.validUntil(), "from the start of the proxy");
+    pollLease.watchOpened(at(1));
+    pollLease.watchClosed(at(2));
+    assertEquals(at(7), pollLease.validUntil(), "the end of a watch does not extend the lease");
+    pollLease.pollAnswered(at(5));
+    assertEquals(at(11), pollLease.validUntil());
   }
 
   @Test
@@ -49,45 +49,45 @@
 
   @Test
   void callThatWasSilentFromItsStartMayHaveMissedAllLaterUpdates() {
-    polled.pollAnswered(at(1));
-    polled.watchSilent(at(2));
-    assertEquals(at(7), polled.validUntil());
-    polled.watchOpened(at(3));
-    polled.watchSilent(at(2));
-    assertEquals(at(8), polled.validUntil());
+    pollLease.pollAnswered(at(1));
+    pollLease.watchSilent(at(2));
+    assertEquals(at(7), pollLease.validUntil());
+    pollLease.watchOpened(at(3));
+    pollLease.watchSilent(at(2));
+    assertEquals(at(8), pollLease.validUntil());
   }
 
   @Test
   void pushedListIsValidOnlyWithAWatch() {
-    assertEquals(at(0), pushed.validUntil(), "from the start of the proxy");
-    pushed.pollAnswered(at(1));
-    assertEquals(at(0), pushed.validUntil());
-    pushed.watchOpened(at(2));
-    assertEquals(at(8), pushed.validUntil());
-    pushed.watchClosed(at(3));
-    assertEquals(at(3), pushed.validUntil());
+    assertEquals(at(0), pushLease.validUntil(), "from the start of the proxy");
+    pushLease.pollAnswered(at(1));
+    assertEquals(at(0), pushLease.validUntil());
+    pushLease.watchOpened(at(2));
+    assertEquals(at(8), pushLease.validUntil());
+    pushLease.watchClosed(at(3));
+    assertEquals(at(3), pushLease.validUntil());
   }
 
   @Test
   void watchOfFormerServiceDoesNotExtendTheLeaseBeyondTheMove() {
-    pushed.watchOpened(at(1));
-    pushed.discoveryMoved(at(2));
-    pushed.watchEventReceived(at(5));
-    assertEquals(at(6), pushed.validUntil());
-    pushed.watchOpened(at(6));
-    assertEquals(at(12), pushed.validUntil());
-    polled.watchOpened(at(1));
-    polled.discoveryMoved(at(2));
-    polled.watchEventReceived(at(7));
-    assertEquals(at(8), polled.validUntil());
+    pushLease.watchOpened(at(1));
+    pushLease.serviceSwitched(at(2));
+    pushLease.watchEventReceived(at(5));
+    assertEquals(at(6), pushLease.validUntil());
+    pushLease.watchOpened(at(6));
+    assertEquals(at(12), pushLease.validUntil());
+    pollLease.watchOpened(at(1));
+    pollLease.serviceSwitched(at(2));
+    pollLease.watchEventReceived(at(7));
+    assertEquals(at(8), pollLease.validUntil());
   }
 
   @Test
   void secondMoveDoesNotExtendTheLeaseOfTheFirst() {
-    polled.watchOpened(at(1));
-    polled.discoveryMoved(at(2));
-    polled.discoveryMoved(at(4));
-    polled.watchEventReceived(at(7));
-    assertEquals(at(8), polled.validUntil());
+    pollLease.watchOpened(at(1));
+    pollLease.serviceSwitched(at(2));
+    pollLease.serviceSwitched(at(4));
+    pollLease.watchEventReceived(at(7));
+    assertEquals(at(8), pollLease.validUntil());
   }
 }
