--- a/src/test/java/pathgw/gossip/GossipMessageTest.java
+++ b/src/test/java/pathgw/gossip/GossipMessageTest.java
@@ -26,13 +26,13 @@
   @ValueSource(booleans = {true, false})
   void encodedMessageIsDecoded(boolean success) {
     GossipMessage message = new GossipMessage(-NODE, success);
-    assertTrue(GossipMessage.isMessage(message.encode()));
+    assertTrue(GossipMessage.hasMessageLength(message.encode()));
     assertEquals(message, GossipMessage.decode(message.encode()));
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 8, 10})
   void datagramOfOtherLengthIsNoMessage(int length) {
-    assertFalse(GossipMessage.isMessage(Buffer.buffer(new byte[length])));
+    assertFalse(GossipMessage.hasMessageLength(Buffer.buffer(new byte[length])));
   }
 }
