--- a/src/test/java/pathgw/discovery/DiscoveryTest.java
+++ b/src/test/java/pathgw/discovery/DiscoveryTest.java
@@ -33,7 +33,10 @@
 import pathgw.transport.FakeConnection;
 import pathgw.upstream.UpstreamPools;
 
-/** Watches and polls of the endpoint list, and what each kind of end does to the lease on it. */
+/**
+ * Tests watches and polls of the endpoint list, and how each way in which they end affects the
+ * lease on the list.
+ */
 class DiscoveryTest extends NetworkFixture {
   private static final Address OTHER_SERVICE = new Address("127.0.0.1", 7);
   private static final String RESPONSE_HEAD =
@@ -41,7 +44,7 @@
   private static final String EMPTY_LINE = "1\r\n\n\r\n";
   private static final String UNAVAILABLE = "HTTP/1.1 503 Later\r\nContent-Length: 0\r\n\r\n";
 
-  /** How long an update that was not delivered takes until it is in effect. */
+  /** How long after it was made an update that was not delivered takes effect, in milliseconds. */
   private static final int EFFECTIVE_AFTER_MS = 6000;
 
   private Discovery discovery() {
@@ -52,7 +55,10 @@
     return new Discovery(this::dial, timers, driver, pools, config, snapshots, counted -> {});
   }
 
-  /** Has discovery call when the engine asks for it; without this, the test opens each call. */
+  /**
+   * Makes discovery open calls when the engine requests them; without this, the test opens each
+   * call.
+   */
   private void connectToEngine(Discovery discovery) {
     driver.setProxyActions(new TestProxyActions(pools, discovery));
   }
@@ -74,12 +80,12 @@
         + "]}";
   }
 
-  /** The complete list, of one node. */
+  /** A complete list of one node. */
   private static String completeList(int version, String health) {
     return list(version, true, entry(health));
   }
 
-  /** A change of the list that names the same node. */
+  /** A change of the list, which names the same node. */
   private static String change(int version, String health) {
     return list(version, false, entry(health));
   }
@@ -98,7 +104,13 @@
     return dialled.get(dialled.size() - 1);
   }
 
-  /** Lets time pass, and answers each call to discovery that is open but for one. */
+  /**
+   * Advances time in steps of 10 ms, and at each step answers every open call to discovery but one.
+   *
+   * @param ms how many milliseconds pass
+   * @param except the call that is not answered; null to answer all
+   * @param answer responds to a call
+   */
   private void passAnsweringCalls(int ms, FakeConnection except, Consumer<FakeConnection> answer) {
     for (int passed = 0; passed < ms; passed += 10) {
       runForMillis(10);
@@ -193,7 +205,11 @@
     assertEquals(2, dialled.size());
   }
 
-  /** The last line arrives at 0; from then on the service rejects all other calls. */
+  /**
+   * The last line of the watch arrives at time 0, and the service rejects all other calls. An
+   * update may have been made right after that line, so no new requests may go to nodes once it may
+   * be in effect.
+   */
   @Test
   void nothingIsSentToNodesOnceAnUpdateMissedOnASilentWatchMayBeInEffect() {
     Discovery discovery = discovery();
@@ -221,7 +237,7 @@
   }
 
   /**
-   * The service is down for longer than the lease lasts: it may have made an update, and been able
+   * The service is down for longer than the lease lasts. It may have made an update, and been able
    * to deliver it, before it failed.
    */
   @Test
@@ -246,8 +262,8 @@
   }
 
   /**
-   * While an agent that pushes lists is down, a call to it stays silent, and what the agent
-   * receives at its return is in effect at once.
+   * An agent that pushes lists does not answer calls while it is down, and an update that it
+   * receives on its return takes effect at once. Discovery must therefore call it again soon.
    */
   @Test
   void pushingAgentIsCalledAgainWithinTheGracePeriod() {
--- a/src/test/java/pathgw/discovery/EndpointListLeaseTest.java
+++ b/src/test/java/pathgw/discovery/EndpointListLeaseTest.java
@@ -5,7 +5,9 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** Until when the endpoint list is valid, for each way in which updates may fail to arrive. */
+/**
+ * Tests until when the endpoint list is valid, for each way in which updates may fail to arrive.
+ */
 class EndpointListLeaseTest {
   private static final Duration POLL_INTERVAL = at(10);
 
--- a/src/test/java/pathgw/discovery/EndpointTest.java
+++ b/src/test/java/pathgw/discovery/EndpointTest.java
@@ -14,7 +14,7 @@
 import pathgw.decision.EndpointState;
 import pathgw.fixture.NetworkFixture;
 
-/** Entries of the endpoint list: their ids, and how they are parsed. */
+/** Tests the ids of the entries of the endpoint list, and how entries are parsed. */
 class EndpointTest extends NetworkFixture {
   @Test
   void idsAndKeysAreHashedAlikeAtEveryProxy() throws MalformedCommandException {
--- a/src/test/java/pathgw/discovery/HttpExchangeTest.java
+++ b/src/test/java/pathgw/discovery/HttpExchangeTest.java
@@ -15,7 +15,7 @@
 import pathgw.config.Address;
 import pathgw.transport.FakeConnection;
 
-/** Responses to one HTTP GET, which arrive byte by byte. */
+/** Tests the parsing of responses to one HTTP GET, which arrive one byte at a time. */
 class HttpExchangeTest {
   private static final String HEAD = "HTTP/1.1 200 OK\r\n\r\n";
   private static final String CHUNKED_HEAD =
--- a/src/test/java/pathgw/gossip/GossipMessageTest.java
+++ b/src/test/java/pathgw/gossip/GossipMessageTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The bytes of a gossip datagram. */
+/** Tests the encoding of gossip datagrams. */
 class GossipMessageTest {
   private static final long NODE = 0x0102030405060708L;
 
--- a/src/test/java/pathgw/snapshot/SnapshotFileTest.java
+++ b/src/test/java/pathgw/snapshot/SnapshotFileTest.java
@@ -20,12 +20,15 @@
 import pathgw.decision.EndpointState;
 import pathgw.decision.NodeSnapshot;
 
-/** What a proxy restores from the snapshot of the process before it, and what it must not. */
+/**
+ * Tests which node health a proxy restores from the file of an earlier process, and which it must
+ * not.
+ */
 class SnapshotFileTest {
   private static final long SUSPECTED_NODE = 1;
   private static final long OTHER_NODE = 2;
 
-  /** An id whose highest bit is set, which files hold as an unsigned number. */
+  /** An id whose highest bit is set; files hold ids as unsigned numbers. */
   private static final long LARGE_NODE = -3;
 
   private static final long UNLISTED_NODE = 4;
@@ -35,7 +38,9 @@
   private static final NodeSnapshot SUSPECTED = new NodeSnapshot(1, 4, 2.9, true);
   private static final NodeSnapshot EMPTY = new NodeSnapshot(0, 0, 0, false);
 
-  /** Written by the release before packages and names were rearranged (commit 038283c). */
+  /**
+   * A file of an earlier release (commit 038283c), from before packages and classes were renamed.
+   */
   private static final String EARLIER_RELEASE_FILE = "written-by-038283c.json";
 
   private static final long EARLIER_RELEASE_WRITTEN_MILLIS = 1_700_000_001_000L;
@@ -73,7 +78,7 @@
     return engine;
   }
 
-  /** What an engine that has learnt nothing yet holds of a node after reading the file. */
+  /** Restores the file in a new engine, and returns the engine's snapshot of a node. */
   private NodeSnapshot restored(long node, long startedMillis, long unixMillis) {
     DecisionEngine engine = engine();
     SnapshotFile.read(file, unixMillis).restore(node, startedMillis, engine);
--- a/src/test/java/pathgw/transport/FakeConnection.java
+++ b/src/test/java/pathgw/transport/FakeConnection.java
@@ -6,7 +6,10 @@
 import java.util.function.Consumer;
 import pathgw.config.Address;
 
-/** A connection whose other side is the test: it sees what is written and supplies what is read. */
+/**
+ * A connection whose other side is the test, which sees the bytes that are written and supplies the
+ * bytes that are read.
+ */
 public final class FakeConnection implements Connection {
   public final StringBuilder written = new StringBuilder();
   public int writeCount;
@@ -14,30 +17,38 @@
   public boolean outputShutDown;
   public boolean writeQueueFull;
 
-  /** Whether what is written reaches the network. */
+  /**
+   * Whether the futures of writes complete, as they do once the bytes have been passed to the
+   * network.
+   */
   public boolean completesWrites = true;
 
+  /** The host of both addresses. */
   public String from = "127.0.0.1";
+
   private Consumer<Buffer> reader;
   private Consumer<CloseReason> onClose;
   private Runnable onWritable;
 
+  /** Delivers bytes to the reader, as the other side would. */
   public void deliver(String bytes) {
     if (reader != null) {
       reader.accept(Buffer.buffer(bytes));
     }
   }
 
+  /** Makes room in the write queue. */
   public void drainWriteQueue() {
     writeQueueFull = false;
     onWritable.run();
   }
 
+  /** Resets the connection, as the other side would. */
   public void reset() {
     close(CloseReason.BROKEN);
   }
 
-  /** The other side ends the stream. */
+  /** Ends the stream, as the other side would. */
   public void ends() {
     close(CloseReason.END_OF_STREAM);
   }
--- a/src/test/java/pathgw/transport/VertxTransportTest.java
+++ b/src/test/java/pathgw/transport/VertxTransportTest.java
@@ -21,13 +21,14 @@
 import org.junit.jupiter.api.Test;
 import pathgw.config.Address;
 
-/** The transport on real sockets, on loopback. */
+/** Tests the transport on real sockets of the loopback interface. */
 class VertxTransportTest {
   private static final String LOOPBACK = "127.0.0.1";
 
   /**
-   * The best of several, since a busy machine may delay one; delayed by the kernel each takes 200
-   * ms.
+   * A connection on which nothing is written must be seen by the listener at once, and not after
+   * the kernel's delay of 200 ms. The fastest of several counts, since a busy machine may delay
+   * one.
    */
   @Test
   void connectionIsAcceptedAtOnceThoughNothingIsWritten() throws Exception {
@@ -56,7 +57,7 @@
     }
   }
 
-  /** Small writes that the kernel delays would be lost in a reset. */
+  /** Small writes that the kernel delays would be lost if the connection were reset. */
   @Test
   void bothEndsDisableDelayOfSmallWrites() throws Exception {
     Vertx vertx = VertxTransport.vertx();
@@ -78,7 +79,10 @@
     }
   }
 
-  /** A listener whose accept queue is full drops further attempts to connect without an answer. */
+  /**
+   * A listener whose accept queue is full drops further connection attempts without a reply, so
+   * that they time out.
+   */
   @Test
   void connectionNotEstablishedInTimeFailsWithConnectTimeout() throws Exception {
     Vertx vertx = VertxTransport.vertx();
@@ -107,7 +111,7 @@
     try {
       socket.connect(listener.getLocalSocketAddress(), 50);
     } catch (SocketTimeoutException queueFull) {
-      // As it should be once the queue is full.
+      // Expected once the accept queue is full.
     }
     return socket;
   }
