--- a/src/test/java/pathgw/discovery/DiscoveryTest.java
+++ b/src/test/java/pathgw/discovery/DiscoveryTest.java
@@ -33,10 +33,7 @@
 import pathgw.transport.FakeConnection;
 import pathgw.upstream.UpstreamPools;
 
-/**
- * Tests watches and polls of the endpoint list, and how each way in which they end affects the
- * lease on the list.
- */
+/** Tests the calls to discovery, and how each way in which they end affects the lease. */
 class DiscoveryTest extends NetworkFixture {
   private static final Address OTHER_SERVICE = new Address("127.0.0.1", 7);
   private static final String RESPONSE_HEAD =
@@ -55,10 +52,7 @@
     return new Discovery(this::dial, timers, driver, pools, config, snapshots, counted -> {});
   }
 
-  /**
-   * Makes discovery open calls when the engine requests them; without this, the test opens each
-   * call.
-   */
+  /** Makes discovery call when the engine requests it; without this, the test opens each call. */
   private void connectToEngine(Discovery discovery) {
     driver.setProxyActions(new TestProxyActions(pools, discovery));
   }
@@ -104,13 +98,7 @@
     return dialled.get(dialled.size() - 1);
   }
 
-  /**
-   * Advances time in steps of 10 ms, and at each step answers every open call to discovery but one.
-   *
-   * @param ms how many milliseconds pass
-   * @param except the call that is not answered; null to answer all
-   * @param answer responds to a call
-   */
+  /** Advances time by 10 ms at a time and answers all open calls but one (null for all of them). */
   private void passAnsweringCalls(int ms, FakeConnection except, Consumer<FakeConnection> answer) {
     for (int passed = 0; passed < ms; passed += 10) {
       runForMillis(10);
@@ -205,11 +193,7 @@
     assertEquals(2, dialled.size());
   }
 
-  /**
-   * The last line of the watch arrives at time 0, and the service rejects all other calls. An
-   * update may have been made right after that line, so no new requests may go to nodes once it may
-   * be in effect.
-   */
+  /** The silent watch's last line arrives at time 0; afterwards all other calls are rejected. */
   @Test
   void nothingIsSentToNodesOnceAnUpdateMissedOnASilentWatchMayBeInEffect() {
     Discovery discovery = discovery();
