--- a/src/test/java/pathgw/discovery/DiscoveryTest.java
+++ b/src/test/java/pathgw/discovery/DiscoveryTest.java
@@ -161,7 +161,7 @@
     firstWatch.deliver(chunk(change(6, "draining")));
     apply(discovery, completeList(5, "ready"));
     client().deliver(READ);
-    assertEquals(3, dialled.size(), "no request to a node that the open watch says is draining");
+    assertEquals(3, dialled.size(), "the node is draining by the open watch");
     dialled.get(2).deliver(RESPONSE_HEAD + chunk(completeList(7, "ready")));
     assertTrue(firstWatch.closed);
     client().deliver(READ);
@@ -210,14 +210,14 @@
     runForMillis(110);
     sendRead();
     sendRead();
-    assertEquals(1, attemptCount(), "a quarter of the fleet may be draining");
+    assertEquals(1, attemptCount(), "the node may be draining by now");
     silentWatch.deliver(EMPTY_LINE);
     sendRead();
     assertEquals(1, attemptCount(), "a watch that was silent may have missed an update");
     discovery.watch();
     lastDialled().deliver(RESPONSE_HEAD + chunk(change(5, "ready")));
     sendRead();
-    assertEquals(2, attemptCount(), "complete service at once");
+    assertEquals(2, attemptCount(), "the new watch renews the lease");
   }
 
   /**
@@ -242,7 +242,7 @@
     discovery.watch();
     lastDialled().deliver(RESPONSE_HEAD + chunk(change(5, "ready")));
     sendRead();
-    assertEquals(3, attemptCount(), "complete service at once");
+    assertEquals(3, attemptCount(), "the new watch renews the lease");
   }
 
   /**
