--- a/src/main/java/pathgw/decision/NodeKind.java
+++ b/src/main/java/pathgw/decision/MachineKindStats.java
@@ -4,7 +4,7 @@
  * What is measured over all nodes of one machine kind: a single proxy sends too little to any one
  * node to learn it of each.
  */
-final class NodeKind {
+final class MachineKindStats {
   /** The share of answers that come late against the latency objective. */
   double lateShare;
 
--- a/src/test/java/pathgw/decision/ColdStartFleet.java
+++ b/src/test/java/pathgw/decision/ColdStartFleet.java
@@ -113,8 +113,8 @@
     int window = 0;
     for (int step = 0; step * STEP_MS < COLD_MS; step++) {
       window += sent[step] - (step * STEP_MS >= FALL_MS ? sent[step - FALL_MS / STEP_MS] : 0);
-      double warmth = COLD_FROM + (1 - COLD_FROM) * step * STEP_MS / COLD_MS;
-      double n = MULTIPLE * warmth * capacity * FALL_MS / 1000;
+      double capacityFraction = COLD_FROM + (1 - COLD_FROM) * step * STEP_MS / COLD_MS;
+      double n = MULTIPLE * capacityFraction * capacity * FALL_MS / 1000;
       most = Math.max(most, window / (n + 2 * Math.sqrt(n) + 2));
     }
     return most;
