--- a/src/main/java/pathgw/decision/AttemptOutcome.java
+++ b/src/main/java/pathgw/decision/AttemptOutcome.java
@@ -27,7 +27,7 @@
   }
 
   /** Whether it shows that the node is healthy or that it is not. */
-  boolean isEvidence() {
+  boolean isHealthEvidence() {
     return this != CANCELLED && this != NOT_SENT;
   }
 
