--- a/src/main/java/pathgw/decision/EndpointTable.java
+++ b/src/main/java/pathgw/decision/EndpointTable.java
@@ -13,7 +13,7 @@
   private static final Duration LEASE_UNLIMITED = Duration.ofDays(36_500);
 
   /** Until when no cache node can have left unheard. */
-  Duration leaseUntil = LEASE_UNLIMITED;
+  Duration leaseEndsAt = LEASE_UNLIMITED;
 
   private final int originKind;
   private final TreeMap<Long, NodeState> nodes = new TreeMap<>();
