--- a/src/main/java/pathgw/decision/FetchQueue.java
+++ b/src/main/java/pathgw/decision/FetchQueue.java
@@ -13,7 +13,7 @@
  * nothing.
  */
 final class FetchQueue {
-  private final Map<Long, RequestState> leaders = new HashMap<>();
+  private final Map<Long, RequestState> leadersByKey = new HashMap<>();
   private final TreeSet<RequestState> queue =
       new TreeSet<>(
           Comparator.comparingDouble((RequestState r) -> -r.requestClass.priorityWeight())
@@ -21,19 +21,19 @@
 
   /** The request whose fetch of the same key is under way, or null; else this one leads now. */
   RequestState joinOrLead(RequestState request) {
-    RequestState leader = leaders.get(request.key);
-    if (leader == null || leader == request || request.hasWaited) {
-      leaders.putIfAbsent(request.key, request);
+    RequestState leader = leadersByKey.get(request.key);
+    if (leader == null || leader == request || request.hasWaitedForLeader) {
+      leadersByKey.putIfAbsent(request.key, request);
       return null;
     }
-    request.hasWaited = true;
+    request.hasWaitedForLeader = true;
     leader.waiters.add(request);
     return leader;
   }
 
   /** Ends a request's lead and returns those who waited for it. */
   List<RequestState> release(RequestState request) {
-    leaders.remove(request.key, request);
+    leadersByKey.remove(request.key, request);
     List<RequestState> waiters = request.waiters;
     request.waiters = new ArrayList<>();
     return waiters;
