--- a/src/main/java/pathgw/decision/RequestClassState.java
+++ b/src/main/java/pathgw/decision/RequestClassState.java
@@ -6,18 +6,18 @@
 
 /** What is known of one request class: its latency at cache nodes and what its clients send. */
 final class RequestClassState {
-  private static final int WORK_MEMORY = 32;
+  private static final int COST_HINT_SMOOTHING_SAMPLES = 32;
 
   final LatencyEstimate latency = new LatencyEstimate();
 
   /** The time from arrival to deadline of the last request that was a first try. */
   Duration firstTryTimeout = Duration.ZERO;
 
-  private double meanWork;
+  private double meanCostHintSeconds;
 
   /** Whether requests name how much work they are. */
   boolean hasCostHints() {
-    return meanWork != 0;
+    return meanCostHintSeconds != 0;
   }
 
   /**
@@ -25,12 +25,15 @@
    * Half of the latency is taken not to grow with the work: otherwise the lightest requests would
    * seem late whenever they queue.
    */
-  double scale(Duration costHint) {
+  double recordCostHint(Duration costHint) {
     double seconds = Durations.seconds(costHint);
     if (seconds <= 0) {
       return 1;
     }
-    meanWork = meanWork == 0 ? seconds : meanWork + (seconds - meanWork) / WORK_MEMORY;
-    return (1 + seconds / meanWork) / 2;
+    meanCostHintSeconds =
+        meanCostHintSeconds == 0
+            ? seconds
+            : meanCostHintSeconds + (seconds - meanCostHintSeconds) / COST_HINT_SMOOTHING_SAMPLES;
+    return (1 + seconds / meanCostHintSeconds) / 2;
   }
 }
--- a/src/test/java/pathgw/decision/ProxyPerClientTest.java
+++ b/src/test/java/pathgw/decision/ProxyPerClientTest.java
@@ -129,9 +129,9 @@
   @Test
   void namedWorkScalesExpectedLatency() {
     RequestClassState classState = new RequestClassState();
-    assertEquals(1, classState.scale(START));
-    assertEquals(1, classState.scale(ms(100)));
-    assertTrue(classState.scale(ms(1000)) > 3 && classState.scale(ms(1)) < 0.6);
+    assertEquals(1, classState.recordCostHint(START));
+    assertEquals(1, classState.recordCostHint(ms(100)));
+    assertTrue(classState.recordCostHint(ms(1000)) > 3 && classState.recordCostHint(ms(1)) < 0.6);
   }
 
   @Test
