--- a/src/test/java/pathgw/decision/AttemptRulesTest.java
+++ b/src/test/java/pathgw/decision/AttemptRulesTest.java
@@ -103,16 +103,16 @@
     fixture.engine.leaseEndpointsUntil(START);
     fixture.requestArrived(1, 8).requestArrived(2, 8).decideAll();
     assertEquals(List.of("reject 1", "reject 2"), fixture.actions);
-    DecisionEngineFixture waits =
+    DecisionEngineFixture withOrigin =
         DecisionEngineFixture.oneOf(1, false, 7, List.of()).withEndpoints(0, 1, 2);
-    waits.engine.leaseEndpointsUntil(START);
-    waits
+    withOrigin.engine.leaseEndpointsUntil(START);
+    withOrigin
         .requestArrived(1, 8)
         .requestArrived(2, 8)
         .decideAll()
         .attemptEnded(1, 0, AttemptOutcome.SERVED)
         .decideAll();
-    assertEquals(List.of(0L, 0L), waits.attemptedNodes, "a waiter fetches by itself");
+    assertEquals(List.of(0L, 0L), withOrigin.attemptedNodes, "a waiter fetches by itself");
   }
 
   @Test
@@ -140,12 +140,12 @@
             .decideAll();
     fixture.at(100).attemptEnded(7, 0, AttemptOutcome.CONNECTION_LOST).decideAll();
     assertEquals(List.of(ms(1000), ms(200)), fixture.sendTimeLimits);
-    DecisionEngineFixture free =
+    DecisionEngineFixture idempotent =
         DecisionEngineFixture.readThrough(Effect.IDEMPOTENT)
             .withEndpoints(1, 2)
             .requestArrived(7, 5)
             .decideAll();
-    free.at(100).attemptEnded(7, 0, AttemptOutcome.CONNECTION_LOST).decideAll();
-    assertEquals(List.of(ms(1000), ms(900)), free.sendTimeLimits);
+    idempotent.at(100).attemptEnded(7, 0, AttemptOutcome.CONNECTION_LOST).decideAll();
+    assertEquals(List.of(ms(1000), ms(900)), idempotent.sendTimeLimits);
   }
 }
--- a/src/test/java/pathgw/decision/ColdStartFleet.java
+++ b/src/test/java/pathgw/decision/ColdStartFleet.java
@@ -17,20 +17,20 @@
  * over many seeds.
  */
 final class ColdStartFleet {
-  private static final long COLD = 1;
+  private static final long WARMING_NODE = 1;
   private static final int NODES = 12;
   private static final int STEP_MS = 20;
   private static final int ANSWER_MS = 20;
-  private static final int COLD_MS = 8000;
-  private static final int FALL_MS = 2000;
-  private static final double COLD_FROM = 0.4;
-  private static final double MULTIPLE = 3;
+  private static final int WARM_UP_MS = 8000;
+  private static final int OVERLOAD_WINDOW_MS = 2000;
+  private static final double WARM_UP_START = 0.4;
+  private static final double OVERLOAD_FACTOR = 3;
 
   /**
-   * @param most the worst load, as a part of what overloads the node
+   * @param maxLoad the worst load, as a part of what overloads the node
    * @param sent requests that it got in all
    */
-  record Result(double most, int sent) {}
+  record Result(double maxLoad, int sent) {}
 
   private ColdStartFleet() {}
 
@@ -50,12 +50,12 @@
     double totalRate = Arrays.stream(rates).sum();
     List<DecisionEngineFixture> fixtures = startFleet(proxies, random);
     List<List<long[]>> answersByStep = new ArrayList<>();
-    for (int at = 0; at <= COLD_MS / STEP_MS; at++) {
+    for (int at = 0; at <= WARM_UP_MS / STEP_MS; at++) {
       answersByStep.add(new ArrayList<>());
     }
-    int[] sent = new int[COLD_MS / STEP_MS + 1];
+    int[] sent = new int[WARM_UP_MS / STEP_MS + 1];
     long ids = 0;
-    for (int step = 0; step * STEP_MS < COLD_MS; step++) {
+    for (int step = 0; step * STEP_MS < WARM_UP_MS; step++) {
       int ms = step * STEP_MS;
       for (DecisionEngineFixture fixture : fixtures) {
         fixture.at(ms);
@@ -81,7 +81,7 @@
           fixture.requestArrived(id, 0, key(random, first || ms >= quietMs), ms + 1000, false);
           fixture.decideAll();
           if (fixture.attemptedNodes.size() > before) {
-            sent[step] += fixture.attemptedNodes.get(before) == COLD ? 1 : 0;
+            sent[step] += fixture.attemptedNodes.get(before) == WARMING_NODE ? 1 : 0;
             answersByStep
                 .get(Math.min(answersByStep.size() - 1, step + ANSWER_MS / STEP_MS))
                 .add(new long[] {p, id});
@@ -101,7 +101,7 @@
       DecisionEngineFixture fixture =
           DecisionEngineFixture.oneOf(proxies, false, random.nextLong(), List.of());
       fixture.withEndpoints(LongStream.rangeClosed(0, NODES).toArray());
-      fixture.withEndpointUpdate(COLD, EndpointState.READY, Duration.ZERO);
+      fixture.withEndpointUpdate(WARMING_NODE, EndpointState.READY, Duration.ZERO);
       fixtures.add(fixture);
     }
     return fixtures;
@@ -109,19 +109,23 @@
 
   /** The largest load in any window, as a part of what overloads the warming node. */
   private static double worstLoad(int[] sent, double capacity) {
-    double most = 0;
+    double maxLoad = 0;
     int window = 0;
-    for (int step = 0; step * STEP_MS < COLD_MS; step++) {
-      window += sent[step] - (step * STEP_MS >= FALL_MS ? sent[step - FALL_MS / STEP_MS] : 0);
-      double capacityFraction = COLD_FROM + (1 - COLD_FROM) * step * STEP_MS / COLD_MS;
-      double n = MULTIPLE * capacityFraction * capacity * FALL_MS / 1000;
-      most = Math.max(most, window / (n + 2 * Math.sqrt(n) + 2));
+    for (int step = 0; step * STEP_MS < WARM_UP_MS; step++) {
+      window +=
+          sent[step]
+              - (step * STEP_MS >= OVERLOAD_WINDOW_MS
+                  ? sent[step - OVERLOAD_WINDOW_MS / STEP_MS]
+                  : 0);
+      double capacityFraction = WARM_UP_START + (1 - WARM_UP_START) * step * STEP_MS / WARM_UP_MS;
+      double allowed = OVERLOAD_FACTOR * capacityFraction * capacity * OVERLOAD_WINDOW_MS / 1000;
+      maxLoad = Math.max(maxLoad, window / (allowed + 2 * Math.sqrt(allowed) + 2));
     }
-    return most;
+    return maxLoad;
   }
 
   /** A key that the warming node has the highest score for and keeps; or one that is another's. */
-  private static long key(Random random, boolean ofCold) {
+  private static long key(Random random, boolean ofWarmingNode) {
     while (true) {
       long key = random.nextLong() | 1;
       byte[] text = Long.toUnsignedString(key).getBytes(java.nio.charset.StandardCharsets.UTF_8);
@@ -134,12 +138,13 @@
           first = id;
         }
       }
-      byte[] barred =
+      byte[] hashInput =
           ("1|" + Long.toUnsignedString(key)).getBytes(java.nio.charset.StandardCharsets.UTF_8);
       long kept =
-          org.apache.commons.codec.digest.MurmurHash3.hash32x86(barred, 0, barred.length, 1)
+          org.apache.commons.codec.digest.MurmurHash3.hash32x86(hashInput, 0, hashInput.length, 1)
               & 0xffffffffL;
-      if ((first == COLD) == ofCold && (!ofCold || kept < COLD_FROM * 0x1p32)) {
+      if ((first == WARMING_NODE) == ofWarmingNode
+          && (!ofWarmingNode || kept < WARM_UP_START * 0x1p32)) {
         return key;
       }
     }
@@ -157,15 +162,15 @@
                   .parallel()
                   .mapToObj(seed -> simulate(proxies, capacity, even, 6500, seed))
                   .toArray(Result[]::new);
-          double[] most = Arrays.stream(all).mapToDouble(Result::most).sorted().toArray();
+          double[] maxLoad = Arrays.stream(all).mapToDouble(Result::maxLoad).sorted().toArray();
           System.out.printf(
               "%d, %.0f/s, %s: %.2f %.2f %.2f; %.1f%n",
               proxies,
               capacity,
               even ? "even" : "uneven",
-              most[seeds / 2],
-              most[seeds * 99 / 100],
-              most[seeds - 1],
+              maxLoad[seeds / 2],
+              maxLoad[seeds * 99 / 100],
+              maxLoad[seeds - 1],
               Arrays.stream(all).mapToInt(Result::sent).average().orElse(0));
         }
       }
--- a/src/test/java/pathgw/decision/ColdStartFleetTest.java
+++ b/src/test/java/pathgw/decision/ColdStartFleetTest.java
@@ -12,9 +12,10 @@
     for (double capacity : new double[] {2, 10, 40}) {
       for (int quietMs : new int[] {0, 4000, 6500}) {
         for (long seed = 0; seed < SEEDS; seed++) {
-          double most = ColdStartFleet.simulate(proxies, capacity, even, quietMs, seed).most();
+          double maxLoad =
+              ColdStartFleet.simulate(proxies, capacity, even, quietMs, seed).maxLoad();
           assertTrue(
-              most <= 1,
+              maxLoad <= 1,
               proxies
                   + " proxies, "
                   + capacity
@@ -23,7 +24,7 @@
                   + " ms, seed "
                   + seed
                   + ": "
-                  + most
+                  + maxLoad
                   + " of the bound");
         }
       }
--- a/src/test/java/pathgw/decision/DecisionEngineTest.java
+++ b/src/test/java/pathgw/decision/DecisionEngineTest.java
@@ -114,15 +114,15 @@
         DecisionEngineFixture.oneOf(500, true, 7, List.of()).withEndpoints(1, 2);
     fixture.requestArrived(1, 8).decideAll().attemptEnded(1, 0, AttemptOutcome.SERVED).decideAll();
     assertEquals(0, fixture.count("gossip"));
-    long top = fixture.attemptedNodes.get(0);
+    long topNode = fixture.attemptedNodes.get(0);
     for (int i = 0; i < 20; i++) {
-      fixture.engine.peerReported(top, false);
+      fixture.engine.peerReported(topNode, false);
     }
     fixture.engine.peerReported(77, false);
     int kept = 0;
     for (long id = 2; id <= 41; id++) {
       fixture.requestArrived(id, 8).decideAll();
-      kept += fixture.attemptedNodes.get(fixture.attemptedNodes.size() - 1) == top ? 1 : 0;
+      kept += fixture.attemptedNodes.get(fixture.attemptedNodes.size() - 1) == topNode ? 1 : 0;
       fixture.engine.requestAbandoned(id);
       fixture.attemptEnded(id, 0, AttemptOutcome.CANCELLED);
     }
--- a/src/test/java/pathgw/decision/FirstSecondsTest.java
+++ b/src/test/java/pathgw/decision/FirstSecondsTest.java
@@ -33,7 +33,7 @@
       List<Runnable> now = List.copyOf(answers);
       answers.clear();
       now.forEach(Runnable::run);
-      fixture.asks(id, 0, 0, id * 7919L);
+      fixture.arriveAndDecideAll(id, 0, 0, id * 7919L);
       for (int number = 0; attemptsSeen < fixture.attemptedNodes.size(); number++) {
         answer(id, number, fixture.attemptedNodes.get(attemptsSeen++).intValue());
       }
--- a/src/test/java/pathgw/decision/PlacementTest.java
+++ b/src/test/java/pathgw/decision/PlacementTest.java
@@ -122,13 +122,13 @@
       fixture.requestArrived(id, 0, id % 2 == 0 ? 8 : id + 1000, id * 500 + 900, false);
       fixture.decideAll().attemptEnded(id, 0, AttemptOutcome.SERVED);
     }
-    long atTop = 0;
+    long sentToTop = 0;
     for (int i = 41; i < 60; i += 2) {
-      atTop +=
+      sentToTop +=
           fixture.attemptedNodes.get(i).equals(nodeOf(8, LongStream.rangeClosed(1, 50).toArray()))
               ? 1
               : 0;
     }
-    assertTrue(atTop < 5, "at the top score " + atTop);
+    assertTrue(sentToTop < 5, "at the top score " + sentToTop);
   }
 }
--- a/src/test/java/pathgw/decision/ProxyPerClientTest.java
+++ b/src/test/java/pathgw/decision/ProxyPerClientTest.java
@@ -19,26 +19,27 @@
   @Test
   void idleConnectionIsClosedOnlyWhereOpenConnectionsHaveACost() {
     DecisionEngineFixture fixture =
-        DecisionEngineFixture.onePerClient(50).withEndpoints(NODES).asks(1, 0, 0, 8);
+        DecisionEngineFixture.onePerClient(50).withEndpoints(NODES).arriveAndDecideAll(1, 0, 0, 8);
     long node = fixture.attemptedNodes.get(0);
     fixture
         .attemptEnded(1, 0, AttemptOutcome.SERVED, 5)
         .at(100)
-        .asks(2, 0, 0, 9)
+        .arriveAndDecideAll(2, 0, 0, 9)
         .at(5_000)
         .decideAll();
     assertTrue(fixture.actions.contains("close " + node));
-    DecisionEngineFixture free =
+    DecisionEngineFixture withoutCost =
         new DecisionEngineFixture(
             false, Settings.Effect.IDEMPOTENT, Settings.DedupScope.ALL, java.util.List.of());
-    free.withEndpoints(NODES)
+    withoutCost
+        .withEndpoints(NODES)
         .requestArrived(1, 8)
         .decideAll()
         .attemptEnded(1, 0, AttemptOutcome.SERVED)
         .decideAll()
         .at(60_000)
         .decideAll();
-    assertEquals(0, free.count("close"), "only where an open connection has a cost");
+    assertEquals(0, withoutCost.count("close"), "only where an open connection has a cost");
   }
 
   private static long score(long node, long key) {
@@ -49,12 +50,12 @@
   @Test
   void refusedConnectionExcludesNodeForAMomentWithoutPoll() {
     DecisionEngineFixture fixture =
-        DecisionEngineFixture.onePerClient(50).withEndpoints(NODES).asks(1, 0, 0, 8);
+        DecisionEngineFixture.onePerClient(50).withEndpoints(NODES).arriveAndDecideAll(1, 0, 0, 8);
     long node = fixture.attemptedNodes.get(0);
     fixture.attemptEnded(1, 0, AttemptOutcome.CONNECT_FAILED, 2);
     assertNotEquals(node, fixture.attemptedNodes.get(1));
     assertEquals(0, fixture.count("poll"));
-    long another =
+    long otherKey =
         LongStream.iterate(9, k -> k + 1)
             .filter(
                 k ->
@@ -63,7 +64,7 @@
                             n -> RendezvousHash.compare(score(node, k), node, score(n, k), n) >= 0))
             .findFirst()
             .getAsLong();
-    fixture.at(20_000).asks(2, 0, 0, another);
+    fixture.at(20_000).arriveAndDecideAll(2, 0, 0, otherKey);
     assertEquals(node, fixture.attemptedNodes.get(2));
   }
 
@@ -72,7 +73,7 @@
     DecisionEngineFixture fixture =
         DecisionEngineFixture.onePerClient(50)
             .withEndpoints(NODES)
-            .asks(1, 0, 0, 8)
+            .arriveAndDecideAll(1, 0, 0, 8)
             .attemptEnded(1, 0, AttemptOutcome.ERROR, 5);
     fixture.attemptEnded(1, 1, AttemptOutcome.MISS, 5);
     assertEquals(3, fixture.attemptedNodes.stream().distinct().count());
@@ -83,7 +84,7 @@
   void tenantOverQuotaIsAdmittedWithoutCongestion() {
     DecisionEngineFixture fixture = DecisionEngineFixture.onePerClient(10, 10).withEndpoints(NODES);
     for (int id = 1; id <= 200; id++) {
-      fixture.at(id * 20L).asks(id, 0, id % 3 == 0 ? 0 : 1, id);
+      fixture.at(id * 20L).arriveAndDecideAll(id, 0, id % 3 == 0 ? 0 : 1, id);
       fixture
           .attemptEnded(
               id, 0, id % 10 == 0 ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.SERVED, 20)
@@ -98,11 +99,17 @@
   void shortRequestAvoidsNodeWithLongRequestInFlight() {
     DecisionEngineFixture fixture = DecisionEngineFixture.onePerClient(50).withEndpoints(NODES);
     for (int id = 1; id <= 20; id++) {
-      fixture.at(id * 1000L).asks(id, 0, 0, id).attemptEnded(id, 0, AttemptOutcome.SERVED, 800);
+      fixture
+          .at(id * 1000L)
+          .arriveAndDecideAll(id, 0, 0, id)
+          .attemptEnded(id, 0, AttemptOutcome.SERVED, 800);
     }
-    fixture.at(30_000).asks(50, 0, 0, 8).asks(51, 1, 0, 8);
+    fixture.at(30_000).arriveAndDecideAll(50, 0, 0, 8).arriveAndDecideAll(51, 1, 0, 8);
     assertNotEquals(fixture.attemptedNodes.get(20), fixture.attemptedNodes.get(21));
-    fixture.attemptEnded(50, 0, AttemptOutcome.SERVED, 20).at(60_000).asks(52, 1, 0, 8);
+    fixture
+        .attemptEnded(50, 0, AttemptOutcome.SERVED, 20)
+        .at(60_000)
+        .arriveAndDecideAll(52, 1, 0, 8);
     assertEquals(fixture.attemptedNodes.get(20), fixture.attemptedNodes.get(22));
   }
 
@@ -116,14 +123,14 @@
                 fixture.engine.updateEndpoint(
                     n, EndpointState.READY, null, n % 2 == 0 ? 1 : 2, 0, 0));
     fixture.engine.endEndpointUpdate();
-    int weak = 0;
+    int sentToSlowKind = 0;
     for (int id = 1; id <= 600; id++) {
-      fixture.at(id * 100L).asks(id, 0, 0, id);
+      fixture.at(id * 100L).arriveAndDecideAll(id, 0, 0, id);
       long node = fixture.attemptedNodes.get(fixture.attemptedNodes.size() - 1);
-      weak += id > 400 && node % 2 == 0 ? 1 : 0;
+      sentToSlowKind += id > 400 && node % 2 == 0 ? 1 : 0;
       fixture.attemptEnded(id, 0, AttemptOutcome.SERVED, node % 2 == 0 && id % 3 != 0 ? 1400 : 50);
     }
-    assertTrue(weak > 10 && weak < 80, weak + " of 200");
+    assertTrue(sentToSlowKind > 10 && sentToSlowKind < 80, sentToSlowKind + " of 200");
   }
 
   @Test
@@ -140,9 +147,9 @@
     for (int id = 1; id <= 200; id++) {
       fixture.engine.requestArrived(id, 0, 0, id, ms(5000), ms(100), false, false);
     }
-    fixture.decideAll().at(1_000).asks(300, 0, 0, 300);
+    fixture.decideAll().at(1_000).arriveAndDecideAll(300, 0, 0, 300);
     assertEquals(0, fixture.count("reject"));
-    fixture.at(1_600).decideAll().asks(301, 0, 0, 301);
+    fixture.at(1_600).decideAll().arriveAndDecideAll(301, 0, 0, 301);
     assertTrue(
         fixture.actions.contains("reject 301"), "0.9 s before the first of them ends unanswered");
   }
@@ -153,10 +160,10 @@
     fixture.engine.restore(99, new NodeSnapshot(0, 9, 3, true));
     fixture.engine.restore(1, new NodeSnapshot(0, 9, 3, true));
     assertTrue(fixture.engine.snapshot(1).suspected());
-    fixture.asks(1, 0, 0, 8).attemptEnded(1, 0, AttemptOutcome.SERVED, 5);
-    long met = fixture.attemptedNodes.get(0);
-    fixture.engine.restore(met, new NodeSnapshot(0, 9, 3, true));
-    assertFalse(fixture.engine.snapshot(met).suspected());
+    fixture.arriveAndDecideAll(1, 0, 0, 8).attemptEnded(1, 0, AttemptOutcome.SERVED, 5);
+    long contactedNode = fixture.attemptedNodes.get(0);
+    fixture.engine.restore(contactedNode, new NodeSnapshot(0, 9, 3, true));
+    assertFalse(fixture.engine.snapshot(contactedNode).suspected());
     fixture
         .withEndpointUpdate(1, EndpointState.READY, ms(1))
         .withEndpointUpdate(1, EndpointState.READY, ms(50));
