--- a/src/test/java/pathgw/decision/AdmissionControlTest.java
+++ b/src/test/java/pathgw/decision/AdmissionControlTest.java
@@ -10,9 +10,12 @@
 import pathgw.decision.Settings.DedupScope;
 import pathgw.decision.Settings.Effect;
 
-/** Quotas and load shedding. */
+/** Tests of tenant quotas and load shedding. */
 class AdmissionControlTest {
-  /** Tenant 0, over its quota, has failed 40 times at the origin in 4 s; tenant 1 was idle. */
+  /**
+   * Tenant 0 is over its quota, and 40 of its fetches from the origin have failed within 4 s.
+   * Tenant 1 has sent nothing.
+   */
   private static DecisionEngineFixture overloaded() {
     DecisionEngineFixture fixture =
         new DecisionEngineFixture(false, Effect.IDEMPOTENT, DedupScope.ALL, List.of(4.0, 400.0))
@@ -66,7 +69,10 @@
     assertTrue(fixture.actions.contains("attempt " + (first + 3)));
   }
 
-  /** Eight seconds of ten requests each, of which one tenant sends far more than its quota. */
+  /**
+   * Sends ten requests per second for eight seconds, most of them from a tenant far over its quota,
+   * and changes the endpoint list in the middle.
+   */
   private static DecisionEngineFixture runWithReducedFleet(
       DecisionEngineFixture fixture, int lateEvery, Consumer<DecisionEngineFixture> change) {
     fixture.withEndpoints(0, 1, 2, 3);
--- a/src/test/java/pathgw/decision/AttemptRulesTest.java
+++ b/src/test/java/pathgw/decision/AttemptRulesTest.java
@@ -10,7 +10,7 @@
 import pathgw.decision.Settings.DedupScope;
 import pathgw.decision.Settings.Effect;
 
-/** What every attempt keeps, whichever mechanism asks for it. */
+/** Tests of the rules for every attempt, whichever mechanism requests it. */
 class AttemptRulesTest {
   @Test
   void atMostOnceRequestIsNeitherRetriedNorRejectedOnceItMayHaveRun() {
@@ -71,7 +71,10 @@
     assertEquals(1, fixture.count("reject"));
   }
 
-  /** A silent watch once hid that nodes were draining: 15 of 76,571 requests went to them. */
+  /**
+   * Guards against attempts at draining nodes while a silent watch hides the change of the endpoint
+   * list. 15 of 76,571 requests were sent to draining nodes in this way.
+   */
   @Test
   void cacheNodesGetNoAttemptWhileEndpointLeaseHasExpired() {
     DecisionEngineFixture fixture =
@@ -129,7 +132,8 @@
   }
 
   /**
-   * With slow connections, seed 7 once sent a retry after the dedup window of the first attempt.
+   * Guards against a retry that is decided within the deduplication window of the first attempt but
+   * written after it, because its connection opens slowly (found with simulation seed 7).
    */
   @Test
   void retryOfKeyedRequestMustBeWrittenWithinDedupWindow() {
--- a/src/test/java/pathgw/decision/ColdStartFleet.java
+++ b/src/test/java/pathgw/decision/ColdStartFleet.java
@@ -11,13 +11,15 @@
 import pathgw.algorithm.RendezvousHash;
 
 /**
- * A fleet of proxies, which do not hear of each other, before one node that warms up. What they
- * send it together is compared with what overloads it: more than N + 2 sqrt(N) + 2 requests in the
- * stated time, N being what the settings allow at that moment. {@code main} prints the distribution
- * over many seeds.
+ * Simulates a fleet of proxies that do not exchange outcomes, and one node that is warming up. The
+ * load that they send to this node together is compared with the load that overloads it: more than
+ * N + 2 sqrt(N) + 2 requests within the overload window, where N is what the settings allow at that
+ * moment. {@code main} prints the distribution over many seeds.
  */
 final class ColdStartFleet {
+  /** The id of the node that is warming up. */
   private static final long WARMING_NODE = 1;
+
   private static final int NODES = 12;
   private static final int STEP_MS = 20;
   private static final int ANSWER_MS = 20;
@@ -27,19 +29,23 @@
   private static final double OVERLOAD_FACTOR = 3;
 
   /**
-   * @param maxLoad the worst load, as a part of what overloads the node
-   * @param sent requests that it got in all
+   * The outcome of one simulation.
+   *
+   * @param maxLoad the largest load as a fraction of the load that overloads the node
+   * @param sent the number of requests that the node received
    */
   record Result(double maxLoad, int sent) {}
 
   private ColdStartFleet() {}
 
   /**
-   * Each proxy sends the warming node one request at the start, which begins its budget. Then no
-   * key is the node's for {@code quietMs}, so that budgets may be saved up; after that every key
-   * is, at all proxies at the same moment.
+   * Simulates the warm-up of the node. Each proxy sends one request to the node at the start, which
+   * creates its budget. Then no key belongs to the node for {@code quietMs}, so that budgets could
+   * be saved; after that every key does, at all proxies at the same moment.
    *
-   * @param capacity requests a second that each warm node has here, as many as it can bear
+   * @param capacity the requests per second that each node gets on average and can handle once it
+   *     is warmed up
+   * @param even whether all proxies have equal request rates
    */
   static Result simulate(int proxies, double capacity, boolean even, int quietMs, long seed) {
     Random random = new Random(seed);
@@ -107,7 +113,7 @@
     return fixtures;
   }
 
-  /** The largest load in any window, as a part of what overloads the warming node. */
+  /** Returns the largest load in any window, as a fraction of the load that overloads the node. */
   private static double worstLoad(int[] sent, double capacity) {
     double maxLoad = 0;
     int window = 0;
@@ -124,7 +130,10 @@
     return maxLoad;
   }
 
-  /** A key that the warming node has the highest score for and keeps; or one that is another's. */
+  /**
+   * Returns a key for which the warming node has the highest score and which it serves from its
+   * start, or a key for which another node has the highest score.
+   */
   private static long key(Random random, boolean ofWarmingNode) {
     while (true) {
       long key = random.nextLong() | 1;
--- a/src/test/java/pathgw/decision/ColdStartFleetTest.java
+++ b/src/test/java/pathgw/decision/ColdStartFleetTest.java
@@ -4,7 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What all proxies together send to one warming node, each keeping its own budget. */
+/**
+ * Checks the load that all proxies together send to one node that is warming up, while each proxy
+ * keeps its own budget.
+ */
 class ColdStartFleetTest {
   private static final int SEEDS = 3;
 
@@ -43,7 +46,10 @@
     assertBudgetKept(30, false);
   }
 
-  /** If each proxy could save one request, all would be sent at the same moment. */
+  /**
+   * Guards against proxies that each save one request for the node and send them all at the same
+   * moment.
+   */
   @Test
   void hundredAndTwentyProxiesKeepSlowStartBudget() {
     assertBudgetKept(120, true);
--- a/src/test/java/pathgw/decision/DecisionEngineTest.java
+++ b/src/test/java/pathgw/decision/DecisionEngineTest.java
@@ -10,7 +10,7 @@
 import pathgw.decision.Settings.DedupScope;
 import pathgw.decision.Settings.Effect;
 
-/** Health, slow start, retries and polling of the endpoint list. */
+/** Tests of node health, slow start, retries and polling of the endpoint list. */
 class DecisionEngineTest {
   @Test
   void silentWatchIsFollowedByPollAndFailedPollsAreRetriedWithinLease() {
--- a/src/test/java/pathgw/decision/FirstSecondsTest.java
+++ b/src/test/java/pathgw/decision/FirstSecondsTest.java
@@ -9,7 +9,10 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** 100 proxies that start at once, at 64 nodes of which each takes 22 connections. */
+/**
+ * Starts 100 proxies at once in front of 64 nodes that accept 22 connections each. Most connections
+ * must succeed, and refused ones must not make the proxies poll the endpoint list.
+ */
 class FirstSecondsTest {
   private static final int PROXIES = 100;
   private static final int NODES = 64;
--- a/src/test/java/pathgw/decision/OriginLimitTest.java
+++ b/src/test/java/pathgw/decision/OriginLimitTest.java
@@ -9,7 +9,7 @@
 import pathgw.decision.Settings.DedupScope;
 import pathgw.decision.Settings.Effect;
 
-/** Concurrency limit and coalescing of origin fetches. */
+/** Tests of the concurrency limit on origin fetches and of their coalescing. */
 class OriginLimitTest {
   @Test
   void missesOnOneKeyShareOneFetchAndAskCacheAgain() {
--- a/src/test/java/pathgw/decision/PlacementTest.java
+++ b/src/test/java/pathgw/decision/PlacementTest.java
@@ -12,7 +12,7 @@
 import pathgw.decision.Settings.DedupScope;
 import pathgw.decision.Settings.Effect;
 
-/** Rendezvous hashing, hot keys and excluded nodes. */
+/** Tests of rendezvous hashing, hot keys and excluded nodes. */
 class PlacementTest {
   private static long nodeOf(long key, long... list) {
     DecisionEngineFixture fixture =
--- a/src/test/java/pathgw/decision/ProxyPerClientTest.java
+++ b/src/test/java/pathgw/decision/ProxyPerClientTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.api.Test;
 import pathgw.algorithm.RendezvousHash;
 
-/** A deployment with one proxy for each client: hundreds of proxies, each with few requests. */
+/**
+ * Tests of a deployment with one proxy for each client: hundreds of proxies, each with few
+ * requests.
+ */
 class ProxyPerClientTest {
   private static final long[] NODES = {0, 1, 2, 3, 4};
 
