--- a/src/test/java/pathgw/decision/AttemptRulesTest.java
+++ b/src/test/java/pathgw/decision/AttemptRulesTest.java
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void keyedRequestIsNeitherRetriedNorRejectedOutsideItsDedupGroup() {
+  void keyedRequestIsNeitherRetriedNorRejectedOutsideItsDedupScope() {
     DecisionEngineFixture fixture =
         new DecisionEngineFixture(true, Effect.IDEMPOTENCY_KEYED, DedupScope.ZONE, List.of())
             .withEndpoints(1, 2)
--- a/src/test/java/pathgw/decision/ProxyPerClientTest.java
+++ b/src/test/java/pathgw/decision/ProxyPerClientTest.java
@@ -137,7 +137,7 @@
   }
 
   @Test
-  void namedWorkScalesExpectedLatency() {
+  void costHintScalesExpectedLatency() {
     RequestClassState classState = new RequestClassState();
     assertEquals(1, classState.recordCostHint(START));
     assertEquals(1, classState.recordCostHint(ms(100)));
