--- a/src/test/java/pathgw/decision/AdmissionControlTest.java
+++ b/src/test/java/pathgw/decision/AdmissionControlTest.java
@@ -102,10 +102,10 @@
     long rejected = fixture.count("reject");
     assertTrue(
         rejected >= 10 && rejected <= 34,
-        rejected + " of 36 over its quota, and some must be admitted");
+        rejected + " rejected of 36 requests over quota, of which some must be admitted");
     assertTrue(
         fixture.actions.stream().noneMatch(s -> s.matches("reject (47|55|63|71|79)")),
-        "within its quota");
+        "requests of the tenant within its quota are admitted");
   }
 
   @Test
@@ -138,7 +138,7 @@
     }
     assertTrue(
         fixture.count("reject") <= 4,
-        fixture.count("reject") + " rejected though all are ready and warm");
+        fixture.count("reject") + " rejected although all nodes are ready and warmed up");
   }
 
   @Test
@@ -213,7 +213,7 @@
           .attemptEnded(id, 2, AttemptOutcome.CONNECTION_LOST)
           .decideAll();
     }
-    assertTrue(fixture.count("reject") > 100, "rejected in all " + fixture.count("reject"));
-    assertTrue(rejected < 10, "rejected of the modest " + rejected);
+    assertTrue(fixture.count("reject") > 100, "rejected in total: " + fixture.count("reject"));
+    assertTrue(rejected < 10, "rejected from the tenant within its quota: " + rejected);
   }
 }
--- a/src/test/java/pathgw/decision/AttemptRulesTest.java
+++ b/src/test/java/pathgw/decision/AttemptRulesTest.java
@@ -86,7 +86,7 @@
     assertEquals(
         ms(100),
         fixture.sendTimeLimits.get(0),
-        "an attempt that waits is not written after the lease");
+        "an attempt that waits is not written after the end of the lease");
     fixture.at(6000).requestArrived(2, 0, 9, 7000, false);
     fixture.decideAll();
     assertEquals(List.of(0L), fixture.attemptedNodes.subList(1, 2), "the origin needs no lease");
@@ -115,7 +115,8 @@
         .decideAll()
         .attemptEnded(1, 0, AttemptOutcome.SERVED)
         .decideAll();
-    assertEquals(List.of(0L, 0L), withOrigin.attemptedNodes, "a waiter fetches by itself");
+    assertEquals(
+        List.of(0L, 0L), withOrigin.attemptedNodes, "the waiting request fetches by itself");
   }
 
   @Test
@@ -133,7 +134,7 @@
 
   /**
    * Guards against a retry that is decided within the deduplication window of the first attempt but
-   * written after it, because its connection opens slowly (found with simulation seed 7).
+   * written after it, because its connection opens slowly (found with seed 7).
    */
   @Test
   void retryOfKeyedRequestMustBeWrittenWithinDedupWindow() {
--- a/src/test/java/pathgw/decision/ColdStartFleet.java
+++ b/src/test/java/pathgw/decision/ColdStartFleet.java
@@ -162,7 +162,7 @@
   public static void main(String[] args) {
     int seeds = Integer.parseInt(args[0]);
     System.out.println(
-        "proxies, capacity, even: median, 99th percentile and most of the bound; sent");
+        "proxies, capacity, even: median, 99th percentile and maximum load / bound; requests sent");
     for (int proxies : new int[] {6, 20, 30, 120}) {
       for (double capacity : new double[] {2, 10, 40}) {
         for (boolean even : new boolean[] {true, false}) {
--- a/src/test/java/pathgw/decision/ColdStartFleetTest.java
+++ b/src/test/java/pathgw/decision/ColdStartFleetTest.java
@@ -59,6 +59,7 @@
   @Test
   void warmingNodeIsSentItsBudget() {
     int sent = ColdStartFleet.simulate(30, 10, true, 0, 1).sent();
-    assertTrue(sent >= 60, sent + " in its first 8 s, of some 110 that the budget allows");
+    assertTrue(
+        sent >= 60, sent + " requests in its first 8 s, of about 110 that the budget allows");
   }
 }
--- a/src/test/java/pathgw/decision/DecisionEngineTest.java
+++ b/src/test/java/pathgw/decision/DecisionEngineTest.java
@@ -23,7 +23,7 @@
     for (int failed = 1; failed <= 8; failed++) {
       fixture.engine.endpointCallFailed();
       fixture.decideAll().at(2500 + failed * 1500).decideAll();
-      assertEquals(1 + failed, fixture.count("poll"), "again soon");
+      assertEquals(1 + failed, fixture.count("poll"), "the next poll follows within 1.5 s");
     }
   }
 
@@ -90,7 +90,7 @@
           .attemptEnded(id, 1, AttemptOutcome.SERVED)
           .decideAll();
     }
-    assertTrue(kept > 0 && kept < 60, "kept " + kept);
+    assertTrue(kept > 0 && kept < 60, "requests sent to the frozen node: " + kept);
   }
 
   @Test
@@ -105,7 +105,7 @@
           .decideAll();
       sent += fixture.count("attempt");
     }
-    assertTrue(sent < 50, "sent " + sent);
+    assertTrue(sent < 50, "requests sent to the warming node: " + sent);
   }
 
   @Test
@@ -126,7 +126,7 @@
       fixture.engine.requestAbandoned(id);
       fixture.attemptEnded(id, 0, AttemptOutcome.CANCELLED);
     }
-    assertTrue(kept < 20, "kept " + kept);
+    assertTrue(kept < 20, "requests sent to the ejected node: " + kept);
     fixture
         .requestArrived(50, 9)
         .decideAll()
@@ -157,7 +157,9 @@
         fixture.at(id * 1000 + (moved == movingHelps ? 250 : 500));
         fixture.attemptEnded(id, last, AttemptOutcome.SERVED).decideAll();
       }
-      assertTrue(movingHelps ? late >= 8 : late < 4, movingHelps + ": " + late);
+      assertTrue(
+          movingHelps ? late >= 8 : late < 4,
+          movingHelps + ", attempts moved late in the run: " + late);
     }
   }
 }
--- a/src/test/java/pathgw/decision/FirstSecondsTest.java
+++ b/src/test/java/pathgw/decision/FirstSecondsTest.java
@@ -71,8 +71,8 @@
         proxies.get(i).step(tick * PROXIES + i, tick * 100L);
       }
     }
-    assertTrue(attempts > 9_000, attempts + " sent");
-    assertTrue(refused < 0.1 * attempts, refused + " of " + attempts + " refused");
+    assertTrue(attempts > 9_000, attempts + " attempts sent");
+    assertTrue(refused < 0.1 * attempts, refused + " of " + attempts + " attempts refused");
     assertTrue(
         proxies.stream().allMatch(p -> p.fixture.count("poll") == 0),
         "no proxy polls the endpoint list");
--- a/src/test/java/pathgw/decision/PlacementTest.java
+++ b/src/test/java/pathgw/decision/PlacementTest.java
@@ -129,6 +129,6 @@
               ? 1
               : 0;
     }
-    assertTrue(sentToTop < 5, "at the top score " + sentToTop);
+    assertTrue(sentToTop < 5, "requests sent to the node with the top score: " + sentToTop);
   }
 }
--- a/src/test/java/pathgw/decision/ProxyPerClientTest.java
+++ b/src/test/java/pathgw/decision/ProxyPerClientTest.java
@@ -133,7 +133,9 @@
       sentToSlowKind += id > 400 && node % 2 == 0 ? 1 : 0;
       fixture.attemptEnded(id, 0, AttemptOutcome.SERVED, node % 2 == 0 && id % 3 != 0 ? 1400 : 50);
     }
-    assertTrue(sentToSlowKind > 10 && sentToSlowKind < 80, sentToSlowKind + " of 200");
+    assertTrue(
+        sentToSlowKind > 10 && sentToSlowKind < 80,
+        sentToSlowKind + " of the last 200 requests were sent to the slow kind");
   }
 
   @Test
@@ -154,7 +156,8 @@
     assertEquals(0, fixture.count("reject"));
     fixture.at(1_600).decideAll().arriveAndDecideAll(301, 0, 0, 301);
     assertTrue(
-        fixture.actions.contains("reject 301"), "0.9 s before the first of them ends unanswered");
+        fixture.actions.contains("reject 301"),
+        "rejected 0.9 s before the first queued request ends without a response");
   }
 
   @Test
@@ -170,7 +173,8 @@
     fixture
         .withEndpointUpdate(1, EndpointState.READY, ms(1))
         .withEndpointUpdate(1, EndpointState.READY, ms(50));
-    assertFalse(fixture.engine.snapshot(1).suspected(), "restarted");
+    assertFalse(
+        fixture.engine.snapshot(1).suspected(), "a node that has restarted is no longer suspected");
     assertEquals(null, fixture.engine.snapshot(99));
   }
 }
