--- a/src/main/java/pathgw/simulation/FaultInjector.java
+++ b/src/main/java/pathgw/simulation/FaultInjector.java
@@ -48,7 +48,7 @@
     switch (fault.kind().scope()) {
       case NODE -> nodeFaults.inject(fault, targetNode(fault));
       case PROXY -> proxyFaults.inject(fault, targetProxy(fault));
-      case WORLD -> injectInWorld(fault);
+      case CLUSTER -> injectClusterWide(fault);
     }
   }
 
@@ -62,7 +62,7 @@
     return proxies.get(fault.target() % proxies.size());
   }
 
-  private void injectInWorld(Fault fault) {
+  private void injectClusterWide(Fault fault) {
     switch (fault.kind()) {
       case GROWS -> cluster.nodes().addColdNode();
       case DEPLOY -> nodeFaults.deploy(fault);
--- a/src/main/java/pathgw/simulation/cluster/ClusterMembers.java
+++ b/src/main/java/pathgw/simulation/cluster/ClusterMembers.java
@@ -3,11 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
-import pathgw.simulation.invariant.SimulatedWorld;
+import pathgw.simulation.invariant.ClusterView;
 import pathgw.simulation.scenario.Scenario;
 
 /** The cache nodes and proxies of one run, including those that have left. */
-public final class ClusterMembers implements SimulatedWorld {
+public final class ClusterMembers implements ClusterView {
   private final Scenario scenario;
   private final List<SimulatedNode> nodes = new ArrayList<>();
   private final List<SimulatedProxy> proxies = new ArrayList<>();
--- a/src/main/java/pathgw/simulation/invariant/SimulatedWorld.java
+++ b/src/main/java/pathgw/simulation/invariant/ClusterView.java
@@ -1,7 +1,7 @@
 package pathgw.simulation.invariant;
 
 /** What the rules have to know about the virtual processes; times are virtual nanoseconds. */
-public interface SimulatedWorld {
+public interface ClusterView {
   /** When the proxy's current process was started. */
   long startedAtNanos(int proxy);
 
--- a/src/main/java/pathgw/simulation/invariant/EffectInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/EffectInvariants.java
@@ -51,8 +51,8 @@
   private boolean sharesDedupMemory(String target, String other) {
     return switch (run.limits.dedupScope()) {
       case "all" -> true;
-      case "zone" -> run.world.zone(target) == run.world.zone(other);
-      default -> run.world.failureDomain(target) == run.world.failureDomain(other);
+      case "zone" -> run.cluster.zone(target) == run.cluster.zone(other);
+      default -> run.cluster.failureDomain(target) == run.cluster.failureDomain(other);
     };
   }
 
--- a/src/main/java/pathgw/simulation/invariant/RequestInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/RequestInvariants.java
@@ -51,7 +51,7 @@
 
   private void checkNotEnded(int proxy, RequestRecord request, String target, long startedAtNanos) {
     boolean afterEnd = startedAtNanos > request.endedAtNanos + TRANSIT_NANOS;
-    if (afterEnd && run.world.stalledUntilNanos(proxy) < request.endedAtNanos) {
+    if (afterEnd && run.cluster.stalledUntilNanos(proxy) < request.endedAtNanos) {
       violated("after", request.id() + " is forwarded to " + target + " after it was answered");
     }
     long leftAllowance = CLIENT_LEFT_ALLOWANCE_NANOS + 2 * TRANSIT_NANOS;
@@ -105,7 +105,8 @@
             - run.limits.responseSlackNanos()
             - SOCKET_ALLOWANCE_NANOS
             - TRANSIT_NANOS;
-    long excusedUntil = run.world.stalledUntilNanos(proxy) + TRANSIT_NANOS + SOCKET_ALLOWANCE_NANOS;
+    long excusedUntil =
+        run.cluster.stalledUntilNanos(proxy) + TRANSIT_NANOS + SOCKET_ALLOWANCE_NANOS;
     if (lateNanos > 0 && now > excusedUntil) {
       violated(
           "late", request.id() + " is answered " + lateNanos / NANOS_PER_MILLI + " ms too late");
@@ -131,7 +132,7 @@
     }
     long now = run.nowNanos();
     long decidedAt = request.decidedAtNanos();
-    if (now > Math.max(decidedAt, run.world.stalledUntilNanos(proxy)) + TRANSIT_NANOS) {
+    if (now > Math.max(decidedAt, run.cluster.stalledUntilNanos(proxy)) + TRANSIT_NANOS) {
       violated(
           "held-back",
           String.format(
@@ -147,7 +148,7 @@
    */
   void connectionLost(int proxy, RequestRecord request, boolean commandRead) {
     long sentAt = request.clientAttempt.sentAt().toNanos();
-    boolean proxyDied = run.world.isDead(proxy) || run.world.startedAtNanos(proxy) > sentAt;
+    boolean proxyDied = run.cluster.isDead(proxy) || run.cluster.startedAtNanos(proxy) > sentAt;
     // A close that crosses a command loses nothing; one long after the command had arrived does.
     boolean crossed = !commandRead && run.nowNanos() - sentAt < TRANSIT_NANOS;
     boolean unserved = request.attempts.isEmpty() && request.clientAttempt.firstOnConnection();
@@ -172,8 +173,9 @@
   /** A client gave up long after the deadline of its request. */
   void neverAnswered(int proxy, RequestRecord request) {
     long sentAt = request.clientAttempt.sentAt().toNanos();
-    boolean proxyDied = run.world.isDead(proxy) || run.world.startedAtNanos(proxy) > sentAt;
-    boolean stalled = run.world.stalledUntilNanos(proxy) + TRANSIT_NANOS > request.deadlineNanos();
+    boolean proxyDied = run.cluster.isDead(proxy) || run.cluster.startedAtNanos(proxy) > sentAt;
+    boolean stalled =
+        run.cluster.stalledUntilNanos(proxy) + TRANSIT_NANOS > request.deadlineNanos();
     if (!proxyDied && !stalled) {
       violated("no-answer", "p" + proxy + " never answers " + request.id());
     }
@@ -191,9 +193,9 @@
     }
     long began = run.nowNanos() - (waited == null ? LEFT_ALONE_NANOS : waited.toNanos());
     boolean excused =
-        run.world.isDead(proxy)
-            || run.world.startedAtNanos(proxy) > began
-            || run.world.stalledUntilNanos(proxy) > began;
+        run.cluster.isDead(proxy)
+            || run.cluster.startedAtNanos(proxy) > began
+            || run.cluster.stalledUntilNanos(proxy) > began;
     boolean tooLong = waited == null || waited.toNanos() > INVALID_CLIENT_LIMIT_NANOS;
     if (!excused && tooLong) {
       violated("rude-alone", "p" + proxy + " leaves an invalid client waiting, " + behavior);
--- a/src/main/java/pathgw/simulation/invariant/RunContext.java
+++ b/src/main/java/pathgw/simulation/invariant/RunContext.java
@@ -16,17 +16,17 @@
   static final int NANOS_PER_MILLI = 1_000_000;
 
   final Trace trace;
-  final SimulatedWorld world;
+  final ClusterView cluster;
   final InvariantLimits limits;
   final ViolationLog violations;
   final RunCounters counters;
   private final LongSupplier clock;
   private final Map<String, RequestRecord> requests = new HashMap<>();
 
-  RunContext(LongSupplier clock, Trace trace, SimulatedWorld world, InvariantLimits limits) {
+  RunContext(LongSupplier clock, Trace trace, ClusterView cluster, InvariantLimits limits) {
     this.clock = clock;
     this.trace = trace;
-    this.world = world;
+    this.cluster = cluster;
     this.limits = limits;
     violations = new ViolationLog(clock, trace);
     counters = new RunCounters(clock);
--- a/src/main/java/pathgw/simulation/scenario/Fault.java
+++ b/src/main/java/pathgw/simulation/scenario/Fault.java
@@ -25,7 +25,7 @@
     /** One proxy. */
     PROXY,
     /** Everything else: discovery, origin, gossip, clients, or many processes at once. */
-    WORLD
+    CLUSTER
   }
 
   /** Every kind of fault; the names, in lower case, are the words of the scenario text. */
@@ -61,29 +61,29 @@
     /** Requests are rejected. */
     BUSY(Scope.NODE, true),
     /** A new cold node is added. */
-    GROWS(Scope.WORLD, false),
+    GROWS(Scope.CLUSTER, false),
     /** This share of the nodes is replaced by new ones, one after another. */
-    DEPLOY(Scope.WORLD, true),
+    DEPLOY(Scope.CLUSTER, true),
     /** Work at the origin takes this many times as long. */
-    ORIGIN_SLOW(Scope.WORLD, true),
+    ORIGIN_SLOW(Scope.CLUSTER, true),
     /** This share of the origin's requests ends in an error. */
-    ORIGIN_FAILS(Scope.WORLD, true),
+    ORIGIN_FAILS(Scope.CLUSTER, true),
     /** This share of the origin's responses is invalid. */
-    ORIGIN_SPOILS(Scope.WORLD, true),
+    ORIGIN_SPOILS(Scope.CLUSTER, true),
     /** This share of the origin's connections is reset under a request. */
-    ORIGIN_RESETS(Scope.WORLD, true),
+    ORIGIN_RESETS(Scope.CLUSTER, true),
     /** Watch events come as much as this many milliseconds late. */
-    LIST_LATE(Scope.WORLD, true),
+    LIST_LATE(Scope.CLUSTER, true),
     /** Discovery is down: watches end, calls fail. */
-    LIST_DOWN(Scope.WORLD, false),
+    LIST_DOWN(Scope.CLUSTER, false),
     /** This share of the discovery calls is rejected. */
-    LIST_REFUSES(Scope.WORLD, true),
+    LIST_REFUSES(Scope.CLUSTER, true),
     /** All watches end once. */
-    LIST_ENDS(Scope.WORLD, false),
+    LIST_ENDS(Scope.CLUSTER, false),
     /** This share of the gossip datagrams is lost. */
-    PEERS_LOSE(Scope.WORLD, true),
+    PEERS_LOSE(Scope.CLUSTER, true),
     /** Gossip datagrams come as much as this many milliseconds late. */
-    PEERS_LATE(Scope.WORLD, true),
+    PEERS_LATE(Scope.CLUSTER, true),
     /** Killed, and started again with the last endpoint list that it had. */
     KILLED(Scope.PROXY, false),
     /** Graceful shutdown (SIGTERM), then started again. */
@@ -91,25 +91,25 @@
     /** Its event loop stalls. */
     STANDS_STILL(Scope.PROXY, false),
     /** SIGHUP to all proxies: discovery has moved to another address. */
-    HANGUP(Scope.WORLD, false),
+    HANGUP(Scope.CLUSTER, false),
     /** This many times as many requests. */
-    BURST(Scope.WORLD, true),
+    BURST(Scope.CLUSTER, true),
     /** This share of the requests is for one key. */
-    HOT(Scope.WORLD, true),
+    HOT(Scope.CLUSTER, true),
     /** One tenant sends this many times as much. */
-    GREED(Scope.WORLD, true),
+    GREED(Scope.CLUSTER, true),
     /** This share of the clients leaves before the response. */
-    LEAVE(Scope.WORLD, true),
+    LEAVE(Scope.CLUSTER, true),
     /** This share of the proxies is killed at once, and started again with its last list. */
-    RESTART(Scope.WORLD, true),
+    RESTART(Scope.CLUSTER, true),
     /** All nodes of the zone of this number die at once and come back cold. */
-    ZONE_LOST(Scope.WORLD, true),
+    ZONE_LOST(Scope.CLUSTER, true),
     /** The machines of the zone of this number are cut off. */
-    ZONE_SILENT(Scope.WORLD, true),
+    ZONE_SILENT(Scope.CLUSTER, true),
     /** This share of the open watches falls silent without an end. */
-    LIST_SILENT(Scope.WORLD, true),
+    LIST_SILENT(Scope.CLUSTER, true),
     /** This share of the nodes is listed as draining within a second, and continues to serve. */
-    LIST_DRAINS(Scope.WORLD, true);
+    LIST_DRAINS(Scope.CLUSTER, true);
 
     /** This many kinds, the first ones, concern any cluster; the others are for large fleets. */
     @SuppressWarnings("EnumOrdinal") // The order of the constants is what is meant.
@@ -140,7 +140,7 @@
 
     /** The word for the fault's target, such as {@code node}; null if it has none. */
     private String targetWord() {
-      return scope == Scope.WORLD ? null : scope.name().toLowerCase(Locale.ROOT);
+      return scope == Scope.CLUSTER ? null : scope.name().toLowerCase(Locale.ROOT);
     }
 
     private static Kind ofWord(String word) {
--- a/src/main/java/pathgw/simulation/scenario/ScenarioGenerator.java
+++ b/src/main/java/pathgw/simulation/scenario/ScenarioGenerator.java
@@ -196,7 +196,7 @@
         switch (kind.scope()) {
           case NODE -> random.nextInt(shape.nodes());
           case PROXY -> random.nextInt(shape.proxies());
-          case WORLD -> Fault.NO_TARGET;
+          case CLUSTER -> Fault.NO_TARGET;
         };
     long durationMs = Math.min(200 + random.nextInt(3000), FAULTS_END_MS - at);
     double by =
