--- a/src/main/java/pathgw/simulation/DiscoveryFaults.java
+++ b/src/main/java/pathgw/simulation/DiscoveryFaults.java
@@ -37,7 +37,7 @@
       }
       case LIST_REFUSES -> timer.during(fault, service::setRefusedShare, 0);
       case LIST_ENDS -> service.closeConnections();
-      case LIST_SILENT -> discovery.silenceWatches(fault.by());
+      case LIST_SILENT -> discovery.silenceWatches(fault.magnitude());
       case LIST_DRAINS -> listAsDraining(fault);
       default -> throw new IllegalArgumentException("no fault of discovery: " + fault);
     }
@@ -46,7 +46,7 @@
   /** Lists a share of the nodes as draining; they continue to serve. */
   private void listAsDraining(Fault fault) {
     List<SimulatedNode> nodes = environment.members().stayingNodes().toList();
-    int count = (int) Math.ceil(nodes.size() * Math.min(1, fault.by()));
+    int count = (int) Math.ceil(nodes.size() * Math.min(1, fault.magnitude()));
     for (int i = 0; i < count; i++) {
       SimulatedNode node = nodes.get(i);
       environment.afterNanos(
--- a/src/main/java/pathgw/simulation/FaultTimer.java
+++ b/src/main/java/pathgw/simulation/FaultTimer.java
@@ -16,12 +16,12 @@
   void during(Fault fault, Runnable begin, Runnable end) {
     begin.run();
     if (!fault.isPermanent()) {
-      environment.afterMillis(fault.forMs(), end);
+      environment.afterMillis(fault.activeMs(), end);
     }
   }
 
   /** Sets a figure to the strength of the fault, and to its normal value afterwards. */
   void during(Fault fault, DoubleConsumer figure, double normalValue) {
-    during(fault, () -> figure.accept(fault.by()), () -> figure.accept(normalValue));
+    during(fault, () -> figure.accept(fault.magnitude()), () -> figure.accept(normalValue));
   }
 }
--- a/src/main/java/pathgw/simulation/NodeFaults.java
+++ b/src/main/java/pathgw/simulation/NodeFaults.java
@@ -59,7 +59,7 @@
   }
 
   private void stall(VirtualProcess process, Fault fault) {
-    process.stallUntil(environment.now() + fault.forMs() * RunEnvironment.NANOS_PER_MILLI);
+    process.stallUntil(environment.now() + fault.activeMs() * RunEnvironment.NANOS_PER_MILLI);
   }
 
   private void injectInNetwork(Fault fault, VirtualProcess process) {
@@ -99,7 +99,7 @@
 
   private List<SimulatedNode> zone(Fault fault) {
     int zones = environment.scenario().fleet().zones();
-    int lostZone = (int) fault.by() % zones;
+    int lostZone = (int) fault.magnitude() % zones;
     return members.nodes().stream().filter(node -> node.zone() == lostZone).toList();
   }
 
@@ -112,7 +112,7 @@
     long listedAfterMs = DEATH_LISTED_AFTER_MS + fault.atMs() % DEATH_LISTED_SPREAD_MS;
     cluster.discovery().publishLater(node, EndpointHealth.GONE, listedAfterMs);
     if (!fault.isPermanent()) {
-      environment.afterMillis(fault.forMs(), () -> restart(node, process, fault));
+      environment.afterMillis(fault.activeMs(), () -> restart(node, process, fault));
     }
   }
 
@@ -142,7 +142,7 @@
           }
         });
     environment.afterMillis(
-        fault.forMs(),
+        fault.activeMs(),
         () -> {
           reconnected[0] = true;
           process.reconnect();
@@ -167,11 +167,11 @@
   /** Replaces a share of the nodes by new ones, one after another. */
   void deploy(Fault fault) {
     List<SimulatedNode> oldNodes = members.stayingNodes().toList();
-    int count = (int) Math.ceil(oldNodes.size() * Math.min(1, fault.by()));
+    int count = (int) Math.ceil(oldNodes.size() * Math.min(1, fault.magnitude()));
     for (int i = 0; i < count; i++) {
       SimulatedNode oldNode = oldNodes.get(i);
       environment.afterMillis(
-          i * Math.max(MIN_DEPLOY_INTERVAL_MS, fault.forMs() / count),
+          i * Math.max(MIN_DEPLOY_INTERVAL_MS, fault.activeMs() / count),
           () -> {
             cluster.nodes().addColdNode();
             drain(oldNode);
--- a/src/main/java/pathgw/simulation/ProxyFaults.java
+++ b/src/main/java/pathgw/simulation/ProxyFaults.java
@@ -24,27 +24,27 @@
       case STANDS_STILL ->
           proxy
               .process()
-              .stallUntil(environment.now() + fault.forMs() * RunEnvironment.NANOS_PER_MILLI);
+              .stallUntil(environment.now() + fault.activeMs() * RunEnvironment.NANOS_PER_MILLI);
       default -> throw new IllegalArgumentException("no fault of a proxy: " + fault);
     }
   }
 
   private void killAndRestart(SimulatedProxy proxy, Fault fault) {
     if (!proxy.process().isDead()) {
-      cluster.proxies().killAndRestart(proxy, fault.forMs());
+      cluster.proxies().killAndRestart(proxy, fault.activeMs());
     }
   }
 
   private void stopAndRestart(SimulatedProxy proxy, Fault fault) {
     if (proxy.isServingNormally()) {
-      cluster.proxies().stopAndRestart(proxy, fault.forMs());
+      cluster.proxies().stopAndRestart(proxy, fault.activeMs());
     }
   }
 
   /** Kills a share of the proxies at once and starts them again. */
   void restartShare(Fault fault) {
     List<SimulatedProxy> proxies = environment.members().proxies();
-    int count = (int) (proxies.size() * Math.min(1, fault.by()));
+    int count = (int) (proxies.size() * Math.min(1, fault.magnitude()));
     for (SimulatedProxy proxy : proxies.subList(0, count)) {
       killAndRestart(proxy, fault);
     }
--- a/src/main/java/pathgw/simulation/ScenarioShrinker.java
+++ b/src/main/java/pathgw/simulation/ScenarioShrinker.java
@@ -133,14 +133,14 @@
     }
   }
 
-  private record FaultTime(long atMs, long forMs) {}
+  private record FaultTime(long atMs, long activeMs) {}
 
   private void simplifyFaultTimes() {
     for (int index = 0; index < smallest.faults().size(); index++) {
       Fault fault = smallest.faults().get(index);
       for (FaultTime time : simplerTimes(fault)) {
         // A duration of 0 would make a temporary fault permanent.
-        if (time.forMs > 0 || fault.isPermanent()) {
+        if (time.activeMs > 0 || fault.isPermanent()) {
           tryScenario(withFaultTime(index, fault, time));
         }
       }
@@ -149,14 +149,16 @@
 
   private static List<FaultTime> simplerTimes(Fault fault) {
     return List.of(
-        new FaultTime(fault.atMs(), fault.forMs() / 2),
-        new FaultTime(fault.atMs() / 100 * 100, fault.forMs() / 100 * 100),
-        new FaultTime(fault.atMs() / 1000 * 1000, fault.forMs()));
+        new FaultTime(fault.atMs(), fault.activeMs() / 2),
+        new FaultTime(fault.atMs() / 100 * 100, fault.activeMs() / 100 * 100),
+        new FaultTime(fault.atMs() / 1000 * 1000, fault.activeMs()));
   }
 
   private Scenario withFaultTime(int index, Fault fault, FaultTime time) {
     List<Fault> faults = new ArrayList<>(smallest.faults());
-    faults.set(index, new Fault(time.atMs, time.forMs, fault.kind(), fault.target(), fault.by()));
+    faults.set(
+        index,
+        new Fault(time.atMs, time.activeMs, fault.kind(), fault.target(), fault.magnitude()));
     return smallest.withFaults(faults);
   }
 }
--- a/src/main/java/pathgw/simulation/cluster/SimulatedDiscovery.java
+++ b/src/main/java/pathgw/simulation/cluster/SimulatedDiscovery.java
@@ -176,7 +176,7 @@
             ? FOREVER_NANOS
             : Math.max(
                 unreachableUntilNanos,
-                environment.now() + fault.forMs() * RunEnvironment.NANOS_PER_MILLI);
+                environment.now() + fault.activeMs() * RunEnvironment.NANOS_PER_MILLI);
   }
 
   /** The proxy's next process will start with the list as it is now. */
--- a/src/main/java/pathgw/simulation/scenario/Fault.java
+++ b/src/main/java/pathgw/simulation/scenario/Fault.java
@@ -8,12 +8,12 @@
  * One fault of a run.
  *
  * @param atMs when it begins, in milliseconds since the run began
- * @param forMs how long it lasts in milliseconds; 0 for good
+ * @param activeMs how long it lasts in milliseconds; 0 for good
  * @param kind what goes wrong
  * @param target the number of a node or proxy, modulo how many there are; -1 if the kind has none
- * @param by how strong it is, in the measure of its kind
+ * @param magnitude how strong it is, in the measure of its kind
  */
-public record Fault(long atMs, long forMs, Kind kind, int target, double by)
+public record Fault(long atMs, long activeMs, Kind kind, int target, double magnitude)
     implements Comparable<Fault> {
   /** The target of faults that concern no single node or proxy. */
   public static final int NO_TARGET = -1;
@@ -113,14 +113,14 @@
 
     /** This many kinds, the first ones, concern any cluster; the others are for large fleets. */
     @SuppressWarnings("EnumOrdinal") // The order of the constants is what is meant.
-    public static final int ANY_FLEET = LEAVE.ordinal() + 1;
+    public static final int GENERAL_KIND_COUNT = LEAVE.ordinal() + 1;
 
     private final Scope scope;
-    private final boolean measured;
+    private final boolean magnitudeRequired;
 
-    Kind(Scope scope, boolean measured) {
+    Kind(Scope scope, boolean magnitudeRequired) {
       this.scope = scope;
-      this.measured = measured;
+      this.magnitudeRequired = magnitudeRequired;
     }
 
     /** What this kind concerns. */
@@ -129,8 +129,8 @@
     }
 
     /** Whether a fault of this kind says how strong it is. */
-    public boolean isMeasured() {
-      return measured;
+    public boolean requiresMagnitude() {
+      return magnitudeRequired;
     }
 
     /** The word of the scenario text. */
@@ -153,23 +153,23 @@
     }
   }
 
-  private static final Pattern FORM =
+  private static final Pattern LINE_PATTERN =
       Pattern.compile(
           "at (?<at>\\d{1,7})ms(?: for (?<for>\\d{1,7})ms)? (?<kind>[a-z-]+)"
               + "(?: (?<scope>node|proxy) (?<target>\\d{1,4}))?(?: by (?<by>[0-9.]{1,12}))?");
 
   /** Whether the fault is never mended. */
   public boolean isPermanent() {
-    return forMs == 0;
+    return activeMs == 0;
   }
 
   /** The line of the scenario text. */
   @Override
   public String toString() {
-    String duration = isPermanent() ? "" : " for " + forMs + "ms";
-    String whom = kind.targetWord() == null ? "" : " " + kind.targetWord() + " " + target;
-    String measure = kind.measured ? " by " + by : "";
-    return "at " + atMs + "ms" + duration + " " + kind.word() + whom + measure;
+    String duration = isPermanent() ? "" : " for " + activeMs + "ms";
+    String targetText = kind.targetWord() == null ? "" : " " + kind.targetWord() + " " + target;
+    String magnitudeText = kind.magnitudeRequired ? " by " + magnitude : "";
+    return "at " + atMs + "ms" + duration + " " + kind.word() + targetText + magnitudeText;
   }
 
   /**
@@ -178,20 +178,20 @@
    * @throws IllegalArgumentException if it has another form; the message says what is wrong
    */
   static Fault parse(String line) {
-    Matcher matcher = FORM.matcher(line);
+    Matcher matcher = LINE_PATTERN.matcher(line);
     if (!matcher.matches()) {
       throw new IllegalArgumentException("not of the form 'at 100ms for 2000ms slow node 3 by 4'");
     }
     Kind kind = Kind.ofWord(matcher.group("kind"));
     checkTarget(kind, matcher.group("scope"));
-    checkMeasure(kind, matcher.group("by"));
+    checkMagnitude(kind, matcher.group("by"));
     String duration = matcher.group("for");
     return new Fault(
         Long.parseLong(matcher.group("at")),
         duration == null ? 0 : Long.parseLong(duration),
         kind,
         kind.targetWord() == null ? NO_TARGET : Integer.parseInt(matcher.group("target")),
-        kind.measured ? Double.parseDouble(matcher.group("by")) : 0);
+        kind.magnitudeRequired ? Double.parseDouble(matcher.group("by")) : 0);
   }
 
   private static void checkTarget(Kind kind, String scopeWord) {
@@ -204,11 +204,11 @@
     }
   }
 
-  private static void checkMeasure(Kind kind, String measure) {
-    if (kind.measured && measure == null) {
+  private static void checkMagnitude(Kind kind, String magnitudeText) {
+    if (kind.magnitudeRequired && magnitudeText == null) {
       throw new IllegalArgumentException("'" + kind.word() + "' needs 'by X'");
     }
-    if (!kind.measured && measure != null) {
+    if (!kind.magnitudeRequired && magnitudeText != null) {
       throw new IllegalArgumentException("'" + kind.word() + "' has no measure");
     }
   }
--- a/src/main/java/pathgw/simulation/scenario/Scenario.java
+++ b/src/main/java/pathgw/simulation/scenario/Scenario.java
@@ -169,6 +169,6 @@
 
   /** When the last fault is over, in milliseconds; a permanent one counts with its beginning. */
   public long calmFromMs() {
-    return faults.stream().mapToLong(fault -> fault.atMs() + fault.forMs()).max().orElse(0);
+    return faults.stream().mapToLong(fault -> fault.atMs() + fault.activeMs()).max().orElse(0);
   }
 }
--- a/src/main/java/pathgw/simulation/scenario/ScenarioGenerator.java
+++ b/src/main/java/pathgw/simulation/scenario/ScenarioGenerator.java
@@ -191,7 +191,7 @@
   }
 
   private Fault anyFault(long at, Scenario shape) {
-    Kind kind = Kind.values()[random.nextInt(Kind.ANY_FLEET)];
+    Kind kind = Kind.values()[random.nextInt(Kind.GENERAL_KIND_COUNT)];
     int target =
         switch (kind.scope()) {
           case NODE -> random.nextInt(shape.nodes());
@@ -199,7 +199,7 @@
           case CLUSTER -> Fault.NO_TARGET;
         };
     long durationMs = Math.min(200 + random.nextInt(3000), FAULTS_END_MS - at);
-    double by =
+    double magnitude =
         switch (kind) {
           case SLOW, ORIGIN_SLOW -> 2 + random.nextInt(12);
           case BURST -> 2 + random.nextInt(4);
@@ -207,7 +207,7 @@
           case CONNECTS_LATE -> 20 + random.nextInt(120);
           case LIST_LATE, PEERS_LATE -> 50 + random.nextInt(3000);
           case DEPLOY -> (3 + random.nextInt(7)) / 10.0;
-          default -> kind.isMeasured() ? (1 + random.nextInt(10)) / 10.0 : 0;
+          default -> kind.requiresMagnitude() ? (1 + random.nextInt(10)) / 10.0 : 0;
         };
     return new Fault(
         at,
@@ -220,6 +220,6 @@
         },
         kind,
         target,
-        by);
+        magnitude);
   }
 }
--- a/src/test/java/pathgw/simulation/SimulationTest.java
+++ b/src/test/java/pathgw/simulation/SimulationTest.java
@@ -29,7 +29,8 @@
     SeedRange.Result result =
         SeedRange.play(0, SEED_COUNT - 1, 4, true, SeedRange.ProgressListener.NONE);
     assertEquals(List.of(), result.failures());
-    for (Fault.Kind kind : Arrays.asList(Fault.Kind.values()).subList(0, Fault.Kind.ANY_FLEET)) {
+    for (Fault.Kind kind :
+        Arrays.asList(Fault.Kind.values()).subList(0, Fault.Kind.GENERAL_KIND_COUNT)) {
       assertTrue(result.counts().containsKey("fault " + kind.word()), kind + " never came");
     }
   }
