--- a/src/main/java/pathgw/simulation/DiscoveryFaults.java
+++ b/src/main/java/pathgw/simulation/DiscoveryFaults.java
@@ -30,12 +30,12 @@
     FakeDiscovery service = discovery.service();
     switch (fault.kind()) {
       case LIST_LATE ->
-          timer.during(fault, delayMs -> service.setMaxDelay(Duration.ofMillis((long) delayMs)), 0);
+          timer.apply(fault, delayMs -> service.setMaxDelay(Duration.ofMillis((long) delayMs)), 0);
       case LIST_DOWN -> {
         discovery.markUnreachable(fault);
-        timer.during(fault, () -> service.setDown(true), () -> service.setDown(false));
+        timer.apply(fault, () -> service.setDown(true), () -> service.setDown(false));
       }
-      case LIST_REFUSES -> timer.during(fault, service::setRefusedShare, 0);
+      case LIST_REFUSES -> timer.apply(fault, service::setRefusedShare, 0);
       case LIST_ENDS -> service.closeConnections();
       case LIST_SILENT -> discovery.silenceWatches(fault.magnitude());
       case LIST_DRAINS -> listAsDraining(fault);
--- a/src/main/java/pathgw/simulation/FaultInjector.java
+++ b/src/main/java/pathgw/simulation/FaultInjector.java
@@ -80,10 +80,10 @@
   private void injectAtOrigin(Fault fault) {
     FaultInjection origin = cluster.nodes().originFaults();
     switch (fault.kind()) {
-      case ORIGIN_SLOW -> timer.during(fault, factor -> origin.slowdownFactor = factor, 1);
-      case ORIGIN_FAILS -> timer.during(fault, share -> origin.errorShare = share, 0);
-      case ORIGIN_SPOILS -> timer.during(fault, share -> origin.corruptReplyShare = share, 0);
-      case ORIGIN_RESETS -> timer.during(fault, share -> origin.resetShare = share, 0);
+      case ORIGIN_SLOW -> timer.apply(fault, factor -> origin.slowdownFactor = factor, 1);
+      case ORIGIN_FAILS -> timer.apply(fault, share -> origin.errorShare = share, 0);
+      case ORIGIN_SPOILS -> timer.apply(fault, share -> origin.corruptReplyShare = share, 0);
+      case ORIGIN_RESETS -> timer.apply(fault, share -> origin.resetShare = share, 0);
       default -> throw new IllegalArgumentException("no fault of the origin: " + fault);
     }
   }
@@ -91,9 +91,9 @@
   private void injectInGossip(Fault fault) {
     VirtualNetwork network = environment.network();
     switch (fault.kind()) {
-      case PEERS_LOSE -> timer.during(fault, share -> network.setDatagramFaults(share, 0), 0);
+      case PEERS_LOSE -> timer.apply(fault, share -> network.setDatagramFaults(share, 0), 0);
       case PEERS_LATE ->
-          timer.during(
+          timer.apply(
               fault,
               delayMs -> network.setDatagramFaults(0, (long) (delayMs * NANOS_PER_MILLI)),
               0);
@@ -105,11 +105,10 @@
     ClientBehavior habits = cluster.clients().behavior();
     double steadyRate = environment.scenario().requestsPerSecond();
     switch (fault.kind()) {
-      case BURST ->
-          timer.during(fault, factor -> habits.requestsPerSecond = steadyRate * factor, 1);
-      case HOT -> timer.during(fault, share -> habits.hotKeyShare = share, 0);
-      case GREED -> timer.during(fault, factor -> habits.firstTenantWeight = factor, 1);
-      case LEAVE -> timer.during(fault, share -> habits.abandonedShare = share, 0);
+      case BURST -> timer.apply(fault, factor -> habits.requestsPerSecond = steadyRate * factor, 1);
+      case HOT -> timer.apply(fault, share -> habits.hotKeyShare = share, 0);
+      case GREED -> timer.apply(fault, factor -> habits.firstTenantWeight = factor, 1);
+      case LEAVE -> timer.apply(fault, share -> habits.abandonedShare = share, 0);
       default -> throw new IllegalArgumentException("no fault of clients: " + fault);
     }
   }
--- a/src/main/java/pathgw/simulation/FaultTimer.java
+++ b/src/main/java/pathgw/simulation/FaultTimer.java
@@ -13,7 +13,7 @@
   }
 
   /** Begins a fault now; a permanent one does not end. */
-  void during(Fault fault, Runnable begin, Runnable end) {
+  void apply(Fault fault, Runnable begin, Runnable end) {
     begin.run();
     if (!fault.isPermanent()) {
       environment.afterMillis(fault.activeMs(), end);
@@ -21,7 +21,7 @@
   }
 
   /** Sets a figure to the strength of the fault, and to its normal value afterwards. */
-  void during(Fault fault, DoubleConsumer figure, double normalValue) {
-    during(fault, () -> figure.accept(fault.magnitude()), () -> figure.accept(normalValue));
+  void apply(Fault fault, DoubleConsumer setter, double normalValue) {
+    apply(fault, () -> setter.accept(fault.magnitude()), () -> setter.accept(normalValue));
   }
 }
--- a/src/main/java/pathgw/simulation/NodeFaults.java
+++ b/src/main/java/pathgw/simulation/NodeFaults.java
@@ -65,9 +65,9 @@
   private void injectInNetwork(Fault fault, VirtualProcess process) {
     VirtualNetwork network = environment.network();
     if (fault.kind() == Kind.CUTS) {
-      timer.during(fault, share -> network.setResetShare(process, share), 0);
+      timer.apply(fault, share -> network.setResetShare(process, share), 0);
     } else {
-      timer.during(
+      timer.apply(
           fault,
           delayMs -> network.setMaxConnectDelay(process, (long) (delayMs * NANOS_PER_MILLI)),
           0);
@@ -76,13 +76,13 @@
 
   private void injectInRequests(Fault fault, FaultInjection node) {
     switch (fault.kind()) {
-      case SLOW -> timer.during(fault, factor -> node.slowdownFactor = factor, 1);
-      case RESETS -> timer.during(fault, share -> node.resetShare = share, 0);
-      case CLOSES -> timer.during(fault, share -> node.closedShare = share, 0);
-      case SPOILS -> timer.during(fault, share -> node.corruptReplyShare = share, 0);
-      case BABBLES -> timer.during(fault, share -> node.extraBytesShare = share, 0);
-      case FAILS -> timer.during(fault, share -> node.errorShare = share, 0);
-      case BUSY -> timer.during(fault, share -> node.rejectedShare = share, 0);
+      case SLOW -> timer.apply(fault, factor -> node.slowdownFactor = factor, 1);
+      case RESETS -> timer.apply(fault, share -> node.resetShare = share, 0);
+      case CLOSES -> timer.apply(fault, share -> node.closedShare = share, 0);
+      case SPOILS -> timer.apply(fault, share -> node.corruptReplyShare = share, 0);
+      case BABBLES -> timer.apply(fault, share -> node.extraBytesShare = share, 0);
+      case FAILS -> timer.apply(fault, share -> node.errorShare = share, 0);
+      case BUSY -> timer.apply(fault, share -> node.rejectedShare = share, 0);
       default -> throw new IllegalArgumentException("no fault of a node: " + fault);
     }
   }
--- a/src/main/java/pathgw/simulation/ScenarioShrinker.java
+++ b/src/main/java/pathgw/simulation/ScenarioShrinker.java
@@ -5,8 +5,8 @@
 import pathgw.simulation.cluster.Mutation;
 import pathgw.simulation.invariant.Violation;
 import pathgw.simulation.scenario.Fault;
-import pathgw.simulation.scenario.Figure;
 import pathgw.simulation.scenario.Scenario;
+import pathgw.simulation.scenario.ScenarioParameter;
 
 /**
  * Makes a scenario that violates a rule as small as it can be with the same kind of violation.
@@ -22,10 +22,16 @@
   /** A violation may need this long after its cause to be seen again. */
   private static final long DURATION_MARGIN_MS = 1000;
 
-  private static final List<Figure> FIGURES_TO_ZERO =
-      List.of(Figure.RUDE, Figure.STAY, Figure.WARM_UP);
-  private static final List<Figure> FIGURES_TO_DEFAULT =
-      List.of(Figure.KEYS, Figure.SKEW, Figure.ROOM, Figure.TIPS, Figure.MEMORY, Figure.SOCKETS);
+  private static final List<ScenarioParameter> PARAMETERS_TO_ZERO =
+      List.of(ScenarioParameter.RUDE, ScenarioParameter.STAY, ScenarioParameter.WARM_UP);
+  private static final List<ScenarioParameter> PARAMETERS_TO_DEFAULT =
+      List.of(
+          ScenarioParameter.KEYS,
+          ScenarioParameter.SKEW,
+          ScenarioParameter.ROOM,
+          ScenarioParameter.TIPS,
+          ScenarioParameter.MEMORY,
+          ScenarioParameter.SOCKETS);
   private static final List<Integer> NODE_COUNTS = List.of(1, 2, 3, 4, 6, 8, 12);
 
   private final Mutation mutation;
@@ -47,7 +53,7 @@
       before = shrinker.smallest;
       shrinker.shrinkDuration();
       shrinker.removeFaults();
-      shrinker.shrinkFigures();
+      shrinker.shrinkParameters();
       shrinker.simplifyFaultTimes();
     } while (!shrinker.smallest.equals(before) && shrinker.runs < MAX_RUNS);
     return shrinker.smallest;
@@ -74,7 +80,7 @@
       if (durationMs < smallest.durationMs()) {
         List<Fault> faults =
             smallest.faults().stream().filter(fault -> fault.atMs() < durationMs).toList();
-        tryScenario(smallest.with(Figure.LASTS, durationMs).withFaults(faults));
+        tryScenario(smallest.with(ScenarioParameter.LASTS, durationMs).withFaults(faults));
       }
     }
   }
@@ -93,15 +99,15 @@
     }
   }
 
-  private void shrinkFigures() {
-    for (Figure figure : FIGURES_TO_ZERO) {
-      tryScenario(smallest.with(figure, 0));
+  private void shrinkParameters() {
+    for (ScenarioParameter parameter : PARAMETERS_TO_ZERO) {
+      tryScenario(smallest.with(parameter, 0));
     }
     shrinkProxies();
     shrinkNodes();
     shrinkRate();
-    for (Figure figure : FIGURES_TO_DEFAULT) {
-      tryScenario(smallest.with(figure, figure.of(Scenario.DEFAULTS)));
+    for (ScenarioParameter parameter : PARAMETERS_TO_DEFAULT) {
+      tryScenario(smallest.with(parameter, parameter.of(Scenario.DEFAULTS)));
     }
     Scenario lookAside = smallest.withMode(Scenario.LOOK_ASIDE);
     Scenario oneDedupScope = smallest.withDedupScope(Scenario.DEFAULTS.dedupScope());
@@ -111,7 +117,7 @@
 
   private void shrinkProxies() {
     for (int proxies = 1; proxies < smallest.proxies(); proxies++) {
-      if (tryScenario(smallest.with(Figure.PROXIES, proxies))) {
+      if (tryScenario(smallest.with(ScenarioParameter.PROXIES, proxies))) {
         return;
       }
     }
@@ -119,7 +125,7 @@
 
   private void shrinkNodes() {
     for (int nodes : NODE_COUNTS) {
-      if (nodes < smallest.nodes() && tryScenario(smallest.with(Figure.NODES, nodes))) {
+      if (nodes < smallest.nodes() && tryScenario(smallest.with(ScenarioParameter.NODES, nodes))) {
         return;
       }
     }
@@ -129,7 +135,7 @@
     boolean shrunk = true;
     while (shrunk) {
       double halfRate = Math.max(1, Math.floor(smallest.requestsPerSecond() / 2));
-      shrunk = tryScenario(smallest.with(Figure.RATE, halfRate));
+      shrunk = tryScenario(smallest.with(ScenarioParameter.RATE, halfRate));
     }
   }
 
--- a/src/main/java/pathgw/simulation/cluster/NodeLifecycle.java
+++ b/src/main/java/pathgw/simulation/cluster/NodeLifecycle.java
@@ -50,7 +50,7 @@
   private final VirtualProcess originProcess;
   private final FaultInjection originFaults = new FaultInjection();
   private final FakeOrigin origin;
-  private final FakeCacheNode.Parameters nodeFigures;
+  private final FakeCacheNode.Parameters nodeParameters;
   private final Map<String, DedupMemory> dedupMemories = new LinkedHashMap<>();
   private final Map<String, List<SimulatedNode>> nodesMissing = new LinkedHashMap<>();
   private int usedAddresses;
@@ -67,12 +67,12 @@
             environment.random(ORIGIN_NAME),
             environment.checker(),
             originFaults,
-            originFigures(),
+            originParameters(),
             new NodeCopies());
-    nodeFigures = nodeFigures();
+    nodeParameters = nodeParameters();
   }
 
-  private FakeOrigin.Parameters originFigures() {
+  private FakeOrigin.Parameters originParameters() {
     double slots = scenario.requestsPerSecond() * ORIGIN_SLOTS_PER_RATE * scenario.capacityFactor();
     return new FakeOrigin.Parameters(
         Math.max(MIN_ORIGIN_SLOTS, (int) Math.ceil(slots)),
@@ -86,7 +86,7 @@
         Duration.ofMillis(scenario.dedupWindowMs()));
   }
 
-  private FakeCacheNode.Parameters nodeFigures() {
+  private FakeCacheNode.Parameters nodeParameters() {
     double servedPerSecond = scenario.capacityFactor() * scenario.requestsPerSecond();
     double serviceSeconds =
         Math.max(
@@ -185,7 +185,7 @@
             environment.random(node.host + usedAddresses),
             new MissObserver(node),
             node.faults(),
-            nodeFigures,
+            nodeParameters,
             cold ? process.now() : null,
             dedupMemory(node),
             () -> crash(node, process));
--- a/src/main/java/pathgw/simulation/scenario/Scenario.java
+++ b/src/main/java/pathgw/simulation/scenario/Scenario.java
@@ -55,12 +55,12 @@
    */
   public record Fleet(
       int zones, double trafficSkew, int nodeConnections, double discoveryCallsPerSecond) {
-    private Fleet with(Figure figure, double value) {
+    private Fleet with(ScenarioParameter parameter, double value) {
       return new Fleet(
-          figure == Figure.ZONES ? (int) value : zones,
-          figure == Figure.UNEVEN ? value : trafficSkew,
-          figure == Figure.PLACES ? (int) value : nodeConnections,
-          figure == Figure.CALLS ? value : discoveryCallsPerSecond);
+          parameter == ScenarioParameter.ZONES ? (int) value : zones,
+          parameter == ScenarioParameter.UNEVEN ? value : trafficSkew,
+          parameter == ScenarioParameter.PLACES ? (int) value : nodeConnections,
+          parameter == ScenarioParameter.CALLS ? value : discoveryCallsPerSecond);
     }
   }
 
@@ -145,25 +145,25 @@
   }
 
   /** The same with one figure set. */
-  public Scenario with(Figure figure, double value) {
+  public Scenario with(ScenarioParameter parameter, double value) {
     return new Scenario(
-        figure == Figure.SEED ? (long) value : seed,
-        figure == Figure.LASTS ? (long) value : durationMs,
-        figure == Figure.PROXIES ? (int) value : proxies,
-        figure == Figure.NODES ? (int) value : nodes,
+        parameter == ScenarioParameter.SEED ? (long) value : seed,
+        parameter == ScenarioParameter.LASTS ? (long) value : durationMs,
+        parameter == ScenarioParameter.PROXIES ? (int) value : proxies,
+        parameter == ScenarioParameter.NODES ? (int) value : nodes,
         readThrough,
         dedupScope,
-        figure == Figure.MEMORY ? (long) value : dedupWindowMs,
-        figure == Figure.RATE ? value : requestsPerSecond,
-        figure == Figure.KEYS ? (int) value : keys,
-        figure == Figure.SKEW ? value : zipfExponent,
-        figure == Figure.RUDE ? value : invalidClientsPerSecond,
-        figure == Figure.WARM_UP ? (int) value : warmUpRounds,
-        figure == Figure.ROOM ? value : capacityFactor,
-        figure == Figure.TIPS ? value : tippingFactor,
-        figure == Figure.SOCKETS ? (int) value : maxDescriptors,
-        figure == Figure.STAY ? value : idleClientShare,
-        fleet.with(figure, value),
+        parameter == ScenarioParameter.MEMORY ? (long) value : dedupWindowMs,
+        parameter == ScenarioParameter.RATE ? value : requestsPerSecond,
+        parameter == ScenarioParameter.KEYS ? (int) value : keys,
+        parameter == ScenarioParameter.SKEW ? value : zipfExponent,
+        parameter == ScenarioParameter.RUDE ? value : invalidClientsPerSecond,
+        parameter == ScenarioParameter.WARM_UP ? (int) value : warmUpRounds,
+        parameter == ScenarioParameter.ROOM ? value : capacityFactor,
+        parameter == ScenarioParameter.TIPS ? value : tippingFactor,
+        parameter == ScenarioParameter.SOCKETS ? (int) value : maxDescriptors,
+        parameter == ScenarioParameter.STAY ? value : idleClientShare,
+        fleet.with(parameter, value),
         faults);
   }
 
--- a/src/main/java/pathgw/simulation/scenario/ScenarioFormat.java
+++ b/src/main/java/pathgw/simulation/scenario/ScenarioFormat.java
@@ -20,12 +20,12 @@
   /** Writes a scenario. */
   static String write(Scenario scenario) {
     StringBuilder text = new StringBuilder();
-    for (Figure figure : Figure.values()) {
-      double value = figure.of(scenario);
-      if (figure == Figure.SEED || value != figure.of(Scenario.DEFAULTS)) {
-        text.append(figure.line(value));
+    for (ScenarioParameter parameter : ScenarioParameter.values()) {
+      double value = parameter.of(scenario);
+      if (parameter == ScenarioParameter.SEED || value != parameter.of(Scenario.DEFAULTS)) {
+        text.append(parameter.line(value));
       }
-      if (figure == Figure.NODES) {
+      if (parameter == ScenarioParameter.NODES) {
         writeChoices(text, scenario);
       }
     }
@@ -75,8 +75,8 @@
       case MODE -> scenario.withMode(oneOf(words[1], Scenario.LOOK_ASIDE, Scenario.READ_THROUGH));
       case GROUP -> scenario.withDedupScope(oneOf(words[1], "all", "zone", "cell"));
       default -> {
-        Figure figure = Figure.ofWord(words[0]);
-        yield scenario.with(figure, figure.parse(words[1]));
+        ScenarioParameter parameter = ScenarioParameter.ofWord(words[0]);
+        yield scenario.with(parameter, parameter.parse(words[1]));
       }
     };
   }
--- a/src/main/java/pathgw/simulation/scenario/ScenarioGenerator.java
+++ b/src/main/java/pathgw/simulation/scenario/ScenarioGenerator.java
@@ -31,7 +31,7 @@
 
   /** A cluster of a few proxies and nodes under faults of any kind. */
   public static Scenario scenario(long seed) {
-    return new ScenarioGenerator(seed).smallCluster().with(Figure.SEED, seed);
+    return new ScenarioGenerator(seed).smallCluster().with(ScenarioParameter.SEED, seed);
   }
 
   private Scenario smallCluster() {
@@ -84,7 +84,7 @@
         seed % SILENT_WATCHES_ONE_IN == SILENT_WATCHES_ONE_IN - 1
             ? generator.fleetWithSilentWatches()
             : generator.largeFleet();
-    return drawn.with(Figure.SEED, seed);
+    return drawn.with(ScenarioParameter.SEED, seed);
   }
 
   /**
--- a/src/main/java/pathgw/simulation/scenario/Figure.java
+++ b/src/main/java/pathgw/simulation/scenario/ScenarioParameter.java
@@ -4,9 +4,9 @@
 import java.util.function.ToDoubleFunction;
 
 /** A number of a scenario: its word in the text, its unit, its bounds and where it is kept. */
-public enum Figure {
+public enum ScenarioParameter {
   /** Decides all random draws of the run. */
-  SEED("", 0, Figure.UNBOUNDED, Scenario::seed),
+  SEED("", 0, ScenarioParameter.UNBOUNDED, Scenario::seed),
   /** {@link Scenario#durationMs()}. */
   LASTS("ms", 0, 3_600_000, Scenario::durationMs),
   /** {@link Scenario#proxies()}. */
@@ -14,23 +14,23 @@
   /** {@link Scenario#nodes()}. */
   NODES("", 1, 4096, Scenario::nodes),
   /** {@link Scenario#dedupWindowMs()}. */
-  MEMORY("ms", 1, Figure.UNBOUNDED, Scenario::dedupWindowMs),
+  MEMORY("ms", 1, ScenarioParameter.UNBOUNDED, Scenario::dedupWindowMs),
   /** {@link Scenario#requestsPerSecond()}. */
   RATE("/s", 0.1, 100_000, Scenario::requestsPerSecond),
   /** {@link Scenario#keys()}. */
   KEYS("", 1, 1_000_000, Scenario::keys),
   /** {@link Scenario#zipfExponent()}. */
-  SKEW("", 0, Figure.UNBOUNDED, Scenario::zipfExponent),
+  SKEW("", 0, ScenarioParameter.UNBOUNDED, Scenario::zipfExponent),
   /** {@link Scenario#invalidClientsPerSecond()}. */
-  RUDE("/s", 0, Figure.UNBOUNDED, Scenario::invalidClientsPerSecond),
+  RUDE("/s", 0, ScenarioParameter.UNBOUNDED, Scenario::invalidClientsPerSecond),
   /** {@link Scenario#warmUpRounds()}. */
-  WARM_UP("", 0, Figure.UNBOUNDED, Scenario::warmUpRounds),
+  WARM_UP("", 0, ScenarioParameter.UNBOUNDED, Scenario::warmUpRounds),
   /** {@link Scenario#capacityFactor()}. */
   ROOM("", 0.1, 1000, Scenario::capacityFactor),
   /** {@link Scenario#tippingFactor()}. */
   TIPS("", 0.1, 1000, Scenario::tippingFactor),
   /** {@link Scenario#maxDescriptors()}. */
-  SOCKETS("", 128, Figure.UNBOUNDED, Scenario::maxDescriptors),
+  SOCKETS("", 128, ScenarioParameter.UNBOUNDED, Scenario::maxDescriptors),
   /** {@link Scenario#idleClientShare()}. */
   STAY("", 0, 1, Scenario::idleClientShare),
   /** {@link Scenario.Fleet#zones()}. */
@@ -38,9 +38,10 @@
   /** {@link Scenario.Fleet#trafficSkew()}. */
   UNEVEN("", 0, 4, scenario -> scenario.fleet().trafficSkew()),
   /** {@link Scenario.Fleet#nodeConnections()}. */
-  PLACES("", 1, Figure.UNBOUNDED, scenario -> scenario.fleet().nodeConnections()),
+  PLACES("", 1, ScenarioParameter.UNBOUNDED, scenario -> scenario.fleet().nodeConnections()),
   /** {@link Scenario.Fleet#discoveryCallsPerSecond()}. */
-  CALLS("/s", 0, Figure.UNBOUNDED, scenario -> scenario.fleet().discoveryCallsPerSecond());
+  CALLS(
+      "/s", 0, ScenarioParameter.UNBOUNDED, scenario -> scenario.fleet().discoveryCallsPerSecond());
 
   private static final double UNBOUNDED = 1e15;
   private static final String NUMBER_PATTERN = "\\d{1,15}(\\.\\d{1,9})?";
@@ -52,7 +53,8 @@
   @SuppressWarnings("ImmutableEnumChecker") // A method reference without state.
   private final ToDoubleFunction<Scenario> getter;
 
-  Figure(String unit, double minimum, double maximum, ToDoubleFunction<Scenario> getter) {
+  ScenarioParameter(
+      String unit, double minimum, double maximum, ToDoubleFunction<Scenario> getter) {
     this.unit = unit;
     this.minimum = minimum;
     this.maximum = maximum;
@@ -69,10 +71,10 @@
     return getter.applyAsDouble(scenario);
   }
 
-  static Figure ofWord(String word) {
-    for (Figure figure : values()) {
-      if (figure.word().equals(word)) {
-        return figure;
+  static ScenarioParameter ofWord(String word) {
+    for (ScenarioParameter parameter : values()) {
+      if (parameter.word().equals(word)) {
+        return parameter;
       }
     }
     throw new IllegalArgumentException("'" + word + "' is no known word");
