--- a/src/main/java/pathgw/simulation/FaultInjector.java
+++ b/src/main/java/pathgw/simulation/FaultInjector.java
@@ -42,8 +42,8 @@
   @SuppressWarnings("EnumOrdinal") // Part of the digest.
   void inject(Fault fault) {
     long now = environment.now();
-    environment.trace().mix(now, fault.kind().ordinal());
-    environment.trace().say(now, fault::toString);
+    environment.trace().addToDigest(now, fault.kind().ordinal());
+    environment.trace().addLine(now, fault::toString);
     counts.merge(fault.kind().word(), 1L, Long::sum);
     switch (fault.kind().scope()) {
       case NODE -> nodeFaults.inject(fault, targetNode(fault));
--- a/src/main/java/pathgw/simulation/ScenarioRun.java
+++ b/src/main/java/pathgw/simulation/ScenarioRun.java
@@ -30,9 +30,9 @@
   private final InvariantChecker checker;
   private final FaultInjector faultInjector;
 
-  private ScenarioRun(Scenario scenario, Mutation mutation, Consumer<String> traceReader) {
+  private ScenarioRun(Scenario scenario, Mutation mutation, Consumer<String> traceConsumer) {
     this.scenario = scenario;
-    cluster = new Cluster(scenario, mutation, traceReader);
+    cluster = new Cluster(scenario, mutation, traceConsumer);
     environment = cluster.environment();
     events = environment.events();
     checker = environment.checker();
@@ -42,10 +42,10 @@
   /**
    * Plays a scenario.
    *
-   * @param traceReader receives each line of what happens; null for none
+   * @param traceConsumer receives each line of what happens; null for none
    */
-  static RunResult play(Scenario scenario, Mutation mutation, Consumer<String> traceReader) {
-    return new ScenarioRun(scenario, mutation, traceReader).play();
+  static RunResult play(Scenario scenario, Mutation mutation, Consumer<String> traceConsumer) {
+    return new ScenarioRun(scenario, mutation, traceConsumer).play();
   }
 
   private RunResult play() {
@@ -106,7 +106,7 @@
     }
     long lastRequestMs = events.now() / NANOS_PER_MILLI - SETTLE_MS;
     checker.checkServiceRecovered(
-        environment.members().capacityFactor(), lastRequestMs - scenario.calmFromMs());
+        environment.members().capacityFactor(), lastRequestMs - scenario.lastFaultEndMs());
   }
 
   private Map<String, Long> counts() {
--- a/src/main/java/pathgw/simulation/SeedRange.java
+++ b/src/main/java/pathgw/simulation/SeedRange.java
@@ -115,11 +115,11 @@
   /**
    * Plays one scenario.
    *
-   * @param traceReader receives each line of what happens; null for none
+   * @param traceConsumer receives each line of what happens; null for none
    * @return the violation in words, or null
    */
-  public static String playScenario(String scenario, Consumer<String> traceReader) {
-    RunResult result = ScenarioRun.play(Scenario.parse(scenario), Mutation.NONE, traceReader);
+  public static String playScenario(String scenario, Consumer<String> traceConsumer) {
+    RunResult result = ScenarioRun.play(Scenario.parse(scenario), Mutation.NONE, traceConsumer);
     return result.violation() == null ? null : result.violation().toString();
   }
 
--- a/src/main/java/pathgw/simulation/cluster/Cluster.java
+++ b/src/main/java/pathgw/simulation/cluster/Cluster.java
@@ -30,10 +30,10 @@
   /**
    * Builds the cluster of a scenario; nothing runs yet.
    *
-   * @param traceReader receives each line of what happens; null for none
+   * @param traceConsumer receives each line of what happens; null for none
    */
-  public Cluster(Scenario scenario, Mutation mutation, Consumer<String> traceReader) {
-    environment = new RunEnvironment(scenario, traceReader);
+  public Cluster(Scenario scenario, Mutation mutation, Consumer<String> traceConsumer) {
+    environment = new RunEnvironment(scenario, traceConsumer);
     clientsProcess = environment.fakeProcess("clients");
     discovery = new SimulatedDiscovery(environment);
     nodes = new NodeLifecycle(environment, discovery);
--- a/src/main/java/pathgw/simulation/cluster/NodeLifecycle.java
+++ b/src/main/java/pathgw/simulation/cluster/NodeLifecycle.java
@@ -95,11 +95,11 @@
         NODE_SLOTS,
         Duration.ofNanos((long) (serviceSeconds * NANOS_PER_SECOND)),
         NODE_QUEUE,
-        scenario.fleet().nodeConnections(),
+        scenario.fleet().maxConnectionsPerNode(),
         ClusterSettings.CONNECTION_IDLE_LIMIT,
         ClusterSettings.COLD_CAPACITY_SHARE,
         ClusterSettings.WARM_UP_TIME,
-        scenario.tippingFactor(),
+        scenario.coldCrashMultiple(),
         ClusterSettings.OVERLOAD_WINDOW,
         NODE_MAX_COPIES,
         scenario.readThrough() ? origin : null);
--- a/src/main/java/pathgw/simulation/cluster/ProxyConfigurations.java
+++ b/src/main/java/pathgw/simulation/cluster/ProxyConfigurations.java
@@ -97,7 +97,7 @@
         MAX_POLL_INTERVAL_NANOS,
         ClusterSettings.COLD_CAPACITY_SHARE,
         ClusterSettings.WARM_UP_TIME.toNanos(),
-        scenario.tippingFactor(),
+        scenario.coldCrashMultiple(),
         ClusterSettings.OVERLOAD_WINDOW.toNanos(),
         ClusterSettings.RESPONSE_SLACK.toNanos());
   }
--- a/src/main/java/pathgw/simulation/cluster/ProxyLifecycle.java
+++ b/src/main/java/pathgw/simulation/cluster/ProxyLifecycle.java
@@ -85,7 +85,7 @@
   private void nowServing(SimulatedProxy proxy) {
     proxy.serving = true;
     clients.proxyStarted(proxy.number);
-    environment.trace().say(environment.now(), () -> proxy.name() + " serves");
+    environment.trace().addLine(environment.now(), () -> proxy.name() + " serves");
   }
 
   private static Config parse(String json) {
@@ -185,7 +185,7 @@
     if (proxy.process != process || process.isDead()) {
       return;
     }
-    environment.trace().say(environment.now(), () -> proxy.name() + " has stopped");
+    environment.trace().addLine(environment.now(), () -> proxy.name() + " has stopped");
     kill(proxy);
     environment.afterMillis(Math.max(MIN_RESTART_DELAY_MS, delayMs), () -> start(proxy));
   }
--- a/src/main/java/pathgw/simulation/cluster/RunEnvironment.java
+++ b/src/main/java/pathgw/simulation/cluster/RunEnvironment.java
@@ -24,12 +24,14 @@
   private final ClusterMembers members;
   private final InvariantChecker checker;
 
-  RunEnvironment(Scenario scenario, Consumer<String> traceReader) {
+  RunEnvironment(Scenario scenario, Consumer<String> traceConsumer) {
     this.scenario = scenario;
-    trace = new Trace(traceReader);
+    trace = new Trace(traceConsumer);
     network =
         new VirtualNetwork(
-            events, random("net"), (process, bytes) -> trace.mix(events.now(), bytes.hashCode()));
+            events,
+            random("net"),
+            (process, bytes) -> trace.addToDigest(events.now(), bytes.hashCode()));
     members = new ClusterMembers(scenario);
     checker =
         new InvariantChecker(events::now, trace, members, limits(scenario), scenario.proxies());
--- a/src/main/java/pathgw/simulation/invariant/ResourceInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/ResourceInvariants.java
@@ -54,9 +54,9 @@
   }
 
   /** See {@link InvariantChecker#checkServiceRecovered}. */
-  void checkServiceRecovered(double capacityFactor, long calmMs, double serviceRate) {
+  void checkServiceRecovered(double capacityFactor, long faultFreeMs, double serviceRate) {
     if (capacityFactor >= CAPACITY_TO_RECOVER
-        && calmMs >= RECOVERY_MS
+        && faultFreeMs >= RECOVERY_MS
         && serviceRate < RECOVERED_SERVICE_RATE) {
       run.violations.report(
           RULE,
@@ -65,7 +65,7 @@
               Locale.ROOT,
               "%.2f of the first attempts are served %.1f s after the last fault",
               serviceRate,
-              calmMs / MILLIS_PER_SECOND));
+              faultFreeMs / MILLIS_PER_SECOND));
     }
   }
 
--- a/src/main/java/pathgw/simulation/invariant/RunContext.java
+++ b/src/main/java/pathgw/simulation/invariant/RunContext.java
@@ -47,8 +47,8 @@
 
   /** Adds an event to the digest and its text to the trace. */
   void event(long event, Supplier<String> text) {
-    trace.mix(nowNanos(), event);
-    trace.say(nowNanos(), text);
+    trace.addToDigest(nowNanos(), event);
+    trace.addLine(nowNanos(), text);
   }
 
   /** The number in a proxy's name, such as 7 in {@code p7}. */
--- a/src/main/java/pathgw/simulation/invariant/Trace.java
+++ b/src/main/java/pathgw/simulation/invariant/Trace.java
@@ -15,27 +15,27 @@
   private static final int DIGEST_ROTATION = 29;
   private static final double NANOS_PER_MILLI = 1e6;
 
-  private final Consumer<String> lineReader;
+  private final Consumer<String> lineConsumer;
   private long digest = INITIAL_DIGEST;
 
   /**
    * Creates an empty trace.
    *
-   * @param lineReader receives each line; null if only the digest is wanted
+   * @param lineConsumer receives each line; null if only the digest is wanted
    */
-  public Trace(Consumer<String> lineReader) {
-    this.lineReader = lineReader;
+  public Trace(Consumer<String> lineConsumer) {
+    this.lineConsumer = lineConsumer;
   }
 
   /** Adds one event to the digest. */
-  public void mix(long atNanos, long event) {
+  public void addToDigest(long atNanos, long event) {
     digest = Long.rotateLeft((digest ^ atNanos) * DIGEST_MULTIPLIER, DIGEST_ROTATION) ^ event;
   }
 
   /** Adds one line of text, which is built only if somebody reads it. */
-  public void say(long atNanos, Supplier<String> text) {
-    if (lineReader != null) {
-      lineReader.accept(
+  public void addLine(long atNanos, Supplier<String> text) {
+    if (lineConsumer != null) {
+      lineConsumer.accept(
           String.format(Locale.ROOT, "%10.3f ms  %s", atNanos / NANOS_PER_MILLI, text.get()));
     }
   }
--- a/src/main/java/pathgw/simulation/invariant/ViolationLog.java
+++ b/src/main/java/pathgw/simulation/invariant/ViolationLog.java
@@ -15,7 +15,7 @@
 
   void report(int rule, String kind, String text) {
     long now = clock.getAsLong();
-    trace.say(now, () -> "BROKEN rule " + rule + ", " + kind + ": " + text);
+    trace.addLine(now, () -> "BROKEN rule " + rule + ", " + kind + ": " + text);
     if (first == null) {
       first = new Violation(rule, kind, now, text);
     }
--- a/src/main/java/pathgw/simulation/scenario/Scenario.java
+++ b/src/main/java/pathgw/simulation/scenario/Scenario.java
@@ -19,7 +19,7 @@
  * @param invalidClientsPerSecond clients that send an invalid command
  * @param warmUpRounds rounds of requests that a proxy sends through itself before it serves
  * @param capacityFactor how many times the steady load the nodes can serve
- * @param tippingFactor a cold node fails at this many times the load that it can serve then
+ * @param coldCrashMultiple a cold node fails at this many times the load that it can serve then
  * @param maxDescriptors file descriptors of a proxy
  * @param idleClientShare the share of clients that send one request and then stay connected
  * @param fleet what only a large fleet makes felt
@@ -39,7 +39,7 @@
     double invalidClientsPerSecond,
     int warmUpRounds,
     double capacityFactor,
-    double tippingFactor,
+    double coldCrashMultiple,
     int maxDescriptors,
     double idleClientShare,
     Fleet fleet,
@@ -50,16 +50,16 @@
    *
    * @param zones over which the nodes are spread
    * @param trafficSkew how unequal the proxies' traffic is: exponent of Zipf's law, 0 for all alike
-   * @param nodeConnections connections that a node accepts
+   * @param maxConnectionsPerNode connections that a node accepts
    * @param discoveryCallsPerSecond that discovery serves one after another; 0 for any number
    */
   public record Fleet(
-      int zones, double trafficSkew, int nodeConnections, double discoveryCallsPerSecond) {
+      int zones, double trafficSkew, int maxConnectionsPerNode, double discoveryCallsPerSecond) {
     private Fleet with(ScenarioParameter parameter, double value) {
       return new Fleet(
           parameter == ScenarioParameter.ZONES ? (int) value : zones,
           parameter == ScenarioParameter.UNEVEN ? value : trafficSkew,
-          parameter == ScenarioParameter.PLACES ? (int) value : nodeConnections,
+          parameter == ScenarioParameter.PLACES ? (int) value : maxConnectionsPerNode,
           parameter == ScenarioParameter.CALLS ? value : discoveryCallsPerSecond);
     }
   }
@@ -137,7 +137,7 @@
         invalidClientsPerSecond,
         warmUpRounds,
         capacityFactor,
-        tippingFactor,
+        coldCrashMultiple,
         maxDescriptors,
         idleClientShare,
         fleet,
@@ -160,7 +160,7 @@
         parameter == ScenarioParameter.RUDE ? value : invalidClientsPerSecond,
         parameter == ScenarioParameter.WARM_UP ? (int) value : warmUpRounds,
         parameter == ScenarioParameter.ROOM ? value : capacityFactor,
-        parameter == ScenarioParameter.TIPS ? value : tippingFactor,
+        parameter == ScenarioParameter.TIPS ? value : coldCrashMultiple,
         parameter == ScenarioParameter.SOCKETS ? (int) value : maxDescriptors,
         parameter == ScenarioParameter.STAY ? value : idleClientShare,
         fleet.with(parameter, value),
@@ -168,7 +168,7 @@
   }
 
   /** When the last fault is over, in milliseconds; a permanent one counts with its beginning. */
-  public long calmFromMs() {
+  public long lastFaultEndMs() {
     return faults.stream().mapToLong(fault -> fault.atMs() + fault.activeMs()).max().orElse(0);
   }
 }
--- a/src/main/java/pathgw/simulation/scenario/ScenarioParameter.java
+++ b/src/main/java/pathgw/simulation/scenario/ScenarioParameter.java
@@ -27,8 +27,8 @@
   WARM_UP("", 0, ScenarioParameter.UNBOUNDED, Scenario::warmUpRounds),
   /** {@link Scenario#capacityFactor()}. */
   ROOM("", 0.1, 1000, Scenario::capacityFactor),
-  /** {@link Scenario#tippingFactor()}. */
-  TIPS("", 0.1, 1000, Scenario::tippingFactor),
+  /** {@link Scenario#coldCrashMultiple()}. */
+  TIPS("", 0.1, 1000, Scenario::coldCrashMultiple),
   /** {@link Scenario#maxDescriptors()}. */
   SOCKETS("", 128, ScenarioParameter.UNBOUNDED, Scenario::maxDescriptors),
   /** {@link Scenario#idleClientShare()}. */
@@ -37,8 +37,8 @@
   ZONES("", 1, 26, scenario -> scenario.fleet().zones()),
   /** {@link Scenario.Fleet#trafficSkew()}. */
   UNEVEN("", 0, 4, scenario -> scenario.fleet().trafficSkew()),
-  /** {@link Scenario.Fleet#nodeConnections()}. */
-  PLACES("", 1, ScenarioParameter.UNBOUNDED, scenario -> scenario.fleet().nodeConnections()),
+  /** {@link Scenario.Fleet#maxConnectionsPerNode()}. */
+  PLACES("", 1, ScenarioParameter.UNBOUNDED, scenario -> scenario.fleet().maxConnectionsPerNode()),
   /** {@link Scenario.Fleet#discoveryCallsPerSecond()}. */
   CALLS(
       "/s", 0, ScenarioParameter.UNBOUNDED, scenario -> scenario.fleet().discoveryCallsPerSecond());
