--- a/src/main/java/pathgw/simulation/invariant/ClientResponse.java
+++ b/src/main/java/pathgw/simulation/invariant/ClientResponse.java
@@ -39,7 +39,7 @@
   }
 
   /** The line without the figure at its end, such as the pause of a Retry-After. */
-  String withoutFigure() {
+  String withoutTrailingNumber() {
     return line.replaceFirst(" \\d+$", "");
   }
 }
--- a/src/main/java/pathgw/simulation/invariant/EffectInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/EffectInvariants.java
@@ -26,13 +26,13 @@
     Effect effect = request.clientAttempt.requestClass().effect();
     for (AttemptRecord earlier : request.attempts) {
       if (!earlier.neverRan && !mayRetry(effect, earlier, target, startedAtNanos)) {
-        long sinceMs = (startedAtNanos - earlier.sentAtNanos) / NANOS_PER_MILLI;
+        long elapsedMs = (startedAtNanos - earlier.sentAtNanos) / NANOS_PER_MILLI;
         run.violations.report(
             RULE,
             "resend",
             String.format(
                 "%s, %s, is forwarded to %s though %s may have run it %d ms before",
-                request.id(), effect, target, earlier.target, sinceMs));
+                request.id(), effect, target, earlier.target, elapsedMs));
       }
     }
   }
@@ -57,7 +57,7 @@
   }
 
   /** A target has taken on a request. */
-  void ran(String target, Request command, boolean deduplicated) {
+  void recordAcceptance(String target, Request command, boolean deduplicated) {
     RequestRecord request = run.request(command.id());
     if (request == null || !command.write() || deduplicated) {
       return;
--- a/src/main/java/pathgw/simulation/invariant/EndpointInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/EndpointInvariants.java
@@ -49,7 +49,7 @@
   void notified(String proxy, String host, String health, long version) {
     Map<String, NotifiedState> states = notifiedStates.get(RunContext.proxyNumber(proxy));
     if (host.isEmpty()) {
-      removeUnnamed(states, version);
+      markUnlistedGone(states, version);
       return;
     }
     NotifiedState before = states.get(host);
@@ -65,7 +65,7 @@
   }
 
   /** A complete list has ended: a host that it did not name is gone. */
-  private void removeUnnamed(Map<String, NotifiedState> states, long version) {
+  private void markUnlistedGone(Map<String, NotifiedState> states, long version) {
     states.replaceAll(
         (host, state) ->
             state.version < version && !state.health.equals(GONE)
@@ -82,7 +82,7 @@
   }
 
   /** Whether the proxy was ever notified of this host since it was started. */
-  boolean knows(String proxy, String host) {
+  boolean hasBeenNotified(String proxy, String host) {
     return notifiedStates.get(RunContext.proxyNumber(proxy)).containsKey(host);
   }
 
@@ -96,13 +96,13 @@
         "rule 3, ms after the notification that a leaving node got a new request",
         (startedAtNanos - state.sinceNanos) / NANOS_PER_MILLI);
     if (startedAtNanos > state.sinceNanos + run.limits.drainGraceNanos() + SOCKET_ALLOWANCE_NANOS) {
-      long sinceMs = (run.nowNanos() - state.sinceNanos) / NANOS_PER_MILLI;
+      long elapsedMs = (run.nowNanos() - state.sinceNanos) / NANOS_PER_MILLI;
       run.violations.report(
           RULE,
           "drain",
           String.format(
               "p%d forwards %s to %s %d ms after it was notified that it is %s",
-              proxy, request.id(), target, sinceMs, state.health));
+              proxy, request.id(), target, elapsedMs, state.health));
     }
   }
 }
--- a/src/main/java/pathgw/simulation/invariant/OverloadInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/OverloadInvariants.java
@@ -28,18 +28,20 @@
 
   /** A node that warms up failed; proxies that knew it are to blame for two thirds or more. */
   void coldNodeOverloaded(String node, List<Arrival> arrivals) {
-    long fromNotified =
-        arrivals.stream().filter(arrival -> endpoints.knows(arrival.from(), node)).count();
+    long fromNotifiedProxies =
+        arrivals.stream()
+            .filter(arrival -> endpoints.hasBeenNotified(arrival.from(), node))
+            .count();
     run.event(
         arrivals.size(), () -> node + " overloaded while cold: " + arrivals.size() + " requests");
     run.counters.count("cold node overloaded");
-    if (fromNotified * 3 >= arrivals.size() * 2L) {
+    if (fromNotifiedProxies * 3 >= arrivals.size() * 2L) {
       run.violations.report(
           RULE,
           "cold",
           String.format(
               "%s, cold, is overloaded by %d requests, %d of them from proxies that knew it",
-              node, arrivals.size(), fromNotified));
+              node, arrivals.size(), fromNotifiedProxies));
     }
   }
 
--- a/src/main/java/pathgw/simulation/invariant/RequestInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/RequestInvariants.java
@@ -1,8 +1,8 @@
 package pathgw.simulation.invariant;
 
+import static pathgw.simulation.invariant.RunContext.MAX_TRANSIT_NANOS;
 import static pathgw.simulation.invariant.RunContext.NANOS_PER_MILLI;
 import static pathgw.simulation.invariant.RunContext.SOCKET_ALLOWANCE_NANOS;
-import static pathgw.simulation.invariant.RunContext.TRANSIT_NANOS;
 
 import java.time.Duration;
 import pathgw.fake.Request;
@@ -21,10 +21,10 @@
   private static final long ANNOUNCED_TIME_ALLOWANCE_NANOS = 150_000_000;
 
   /** A client that sends an invalid command gets an error line or the end within this. */
-  private static final long INVALID_CLIENT_LIMIT_NANOS = 3_000_000_000L;
+  private static final long MAX_INVALID_CLIENT_WAIT_NANOS = 3_000_000_000L;
 
   /** Stands for the time a client waited that got neither. */
-  private static final long LEFT_ALONE_NANOS = 3_600_000_000L;
+  private static final long UNANSWERED_WAIT_NANOS = 3_600_000_000L;
 
   private static final char REMAINING_MILLIS_LABEL = 'd';
 
@@ -34,7 +34,7 @@
     this.run = run;
   }
 
-  private void violated(String kind, String text) {
+  private void reportViolation(String kind, String text) {
     run.violations.report(RULE, kind, text);
   }
 
@@ -45,30 +45,33 @@
     checkDeadline(request, target, startedAtNanos);
     checkAnnouncedTime(request, target, command, startedAtNanos);
     if (request.attempts.size() >= run.limits.maxAttempts()) {
-      violated("many", request.id() + " has more than " + run.limits.maxAttempts() + " attempts");
+      reportViolation(
+          "many", request.id() + " has more than " + run.limits.maxAttempts() + " attempts");
     }
   }
 
   private void checkNotEnded(int proxy, RequestRecord request, String target, long startedAtNanos) {
-    boolean afterEnd = startedAtNanos > request.endedAtNanos + TRANSIT_NANOS;
+    boolean afterEnd = startedAtNanos > request.endedAtNanos + MAX_TRANSIT_NANOS;
     if (afterEnd && run.cluster.stalledUntilNanos(proxy) < request.endedAtNanos) {
-      violated("after", request.id() + " is forwarded to " + target + " after it was answered");
+      reportViolation(
+          "after", request.id() + " is forwarded to " + target + " after it was answered");
     }
-    long leftAllowance = CLIENT_LEFT_ALLOWANCE_NANOS + 2 * TRANSIT_NANOS;
+    long leftAllowance = CLIENT_LEFT_ALLOWANCE_NANOS + 2 * MAX_TRANSIT_NANOS;
     if (request.clientLeft && startedAtNanos > request.endedAtNanos + leftAllowance) {
-      long sinceMs = (startedAtNanos - request.endedAtNanos) / NANOS_PER_MILLI;
-      violated(
+      long elapsedMs = (startedAtNanos - request.endedAtNanos) / NANOS_PER_MILLI;
+      reportViolation(
           "gone",
           String.format(
-              "%s is forwarded to %s %d ms after its client left", request.id(), target, sinceMs));
+              "%s is forwarded to %s %d ms after its client left",
+              request.id(), target, elapsedMs));
     }
   }
 
   private void checkDeadline(RequestRecord request, String target, long startedAtNanos) {
-    long latest =
+    long latestStartNanos =
         request.deadlineNanos() + run.limits.responseSlackNanos() + SOCKET_ALLOWANCE_NANOS;
-    if (startedAtNanos > latest) {
-      violated(
+    if (startedAtNanos > latestStartNanos) {
+      reportViolation(
           "late-hand-off", request.id() + " is forwarded to " + target + " after its deadline");
     }
   }
@@ -83,7 +86,7 @@
     long remaining = request.deadlineNanos() - startedAtNanos;
     if (Long.parseLong(announcedMs) * NANOS_PER_MILLI
         > remaining + ANNOUNCED_TIME_ALLOWANCE_NANOS) {
-      violated(
+      reportViolation(
           "time-told",
           String.format(
               "%s announces %s ms to %s though its client waits %d ms more",
@@ -93,7 +96,8 @@
 
   /** A client got a response that belongs to none of its requests. */
   void unexpectedResponse(int proxy, String response) {
-    violated("two-answers", "p" + proxy + " sends a response that nobody asked for: " + response);
+    reportViolation(
+        "two-answers", "p" + proxy + " sends a response that nobody asked for: " + response);
   }
 
   /** Checks when a response came. */
@@ -104,20 +108,20 @@
             - request.deadlineNanos()
             - run.limits.responseSlackNanos()
             - SOCKET_ALLOWANCE_NANOS
-            - TRANSIT_NANOS;
-    long excusedUntil =
-        run.cluster.stalledUntilNanos(proxy) + TRANSIT_NANOS + SOCKET_ALLOWANCE_NANOS;
-    if (lateNanos > 0 && now > excusedUntil) {
-      violated(
+            - MAX_TRANSIT_NANOS;
+    long stallAllowanceEndNanos =
+        run.cluster.stalledUntilNanos(proxy) + MAX_TRANSIT_NANOS + SOCKET_ALLOWANCE_NANOS;
+    if (lateNanos > 0 && now > stallAllowanceEndNanos) {
+      reportViolation(
           "late", request.id() + " is answered " + lateNanos / NANOS_PER_MILLI + " ms too late");
     }
   }
 
   /** Checks that a value or a receipt was made for this very request. */
   void served(RequestRecord request, ClientResponse response) {
-    boolean repeatsId = response.line().contains(" O" + request.id());
-    if (!repeatsId || !request.madeResponses.contains(response.payload())) {
-      violated(
+    boolean containsRequestId = response.line().contains(" O" + request.id());
+    if (!containsRequestId || !request.createdResponses.contains(response.payload())) {
+      reportViolation(
           "another's", request.id() + " is served what was not made for it: " + response.line());
     }
   }
@@ -125,15 +129,16 @@
   /** Checks a response that serves nothing. */
   void notServed(int proxy, RequestRecord request, ClientResponse response) {
     if (response.isClientError()) {
-      violated("refused", request.id() + ", a valid command, is answered " + response.line());
+      reportViolation(
+          "refused", request.id() + ", a valid command, is answered " + response.line());
     }
     if (!request.isDecided()) {
       return;
     }
     long now = run.nowNanos();
     long decidedAt = request.decidedAtNanos();
-    if (now > Math.max(decidedAt, run.cluster.stalledUntilNanos(proxy)) + TRANSIT_NANOS) {
-      violated(
+    if (now > Math.max(decidedAt, run.cluster.stalledUntilNanos(proxy)) + MAX_TRANSIT_NANOS) {
+      reportViolation(
           "held-back",
           String.format(
               "%s was decided %d ms before its client was told",
@@ -150,17 +155,17 @@
     long sentAt = request.clientAttempt.sentAt().toNanos();
     boolean proxyDied = run.cluster.isDead(proxy) || run.cluster.startedAtNanos(proxy) > sentAt;
     // A close that crosses a command loses nothing; one long after the command had arrived does.
-    boolean crossed = !commandRead && run.nowNanos() - sentAt < TRANSIT_NANOS;
+    boolean crossed = !commandRead && run.nowNanos() - sentAt < MAX_TRANSIT_NANOS;
     boolean unserved = request.attempts.isEmpty() && request.clientAttempt.firstOnConnection();
-    run.counters.count(lossName(proxyDied, crossed, unserved));
+    run.counters.count(lossCounterName(proxyDied, crossed, unserved));
     if (!crossed && !proxyDied && !unserved) {
-      violated(
+      reportViolation(
           "lost",
           "p" + proxy + " took " + request.id() + " and ended the connection without a response");
     }
   }
 
-  private static String lossName(boolean proxyDied, boolean crossed, boolean unserved) {
+  private static String lossCounterName(boolean proxyDied, boolean crossed, boolean unserved) {
     if (proxyDied) {
       return "connection lost with its proxy";
     }
@@ -175,9 +180,9 @@
     long sentAt = request.clientAttempt.sentAt().toNanos();
     boolean proxyDied = run.cluster.isDead(proxy) || run.cluster.startedAtNanos(proxy) > sentAt;
     boolean stalled =
-        run.cluster.stalledUntilNanos(proxy) + TRANSIT_NANOS > request.deadlineNanos();
+        run.cluster.stalledUntilNanos(proxy) + MAX_TRANSIT_NANOS > request.deadlineNanos();
     if (!proxyDied && !stalled) {
-      violated("no-answer", "p" + proxy + " never answers " + request.id());
+      reportViolation("no-answer", "p" + proxy + " never answers " + request.id());
     }
   }
 
@@ -188,22 +193,23 @@
    */
   void invalidClientEnded(int proxy, String behavior, Duration waited, String response) {
     if (ClientResponse.of(response).isServed()) {
-      violated(
+      reportViolation(
           "served-rude", "p" + proxy + " serves an invalid command, " + behavior + ": " + response);
     }
-    long began = run.nowNanos() - (waited == null ? LEFT_ALONE_NANOS : waited.toNanos());
+    long waitStartNanos =
+        run.nowNanos() - (waited == null ? UNANSWERED_WAIT_NANOS : waited.toNanos());
     boolean excused =
         run.cluster.isDead(proxy)
-            || run.cluster.startedAtNanos(proxy) > began
-            || run.cluster.stalledUntilNanos(proxy) > began;
-    boolean tooLong = waited == null || waited.toNanos() > INVALID_CLIENT_LIMIT_NANOS;
+            || run.cluster.startedAtNanos(proxy) > waitStartNanos
+            || run.cluster.stalledUntilNanos(proxy) > waitStartNanos;
+    boolean tooLong = waited == null || waited.toNanos() > MAX_INVALID_CLIENT_WAIT_NANOS;
     if (!excused && tooLong) {
-      violated("rude-alone", "p" + proxy + " leaves an invalid client waiting, " + behavior);
+      reportViolation("rude-alone", "p" + proxy + " leaves an invalid client waiting, " + behavior);
     }
   }
 
   /** A proxy has not ended its graceful shutdown within the limit. */
   void stopTimedOut(int proxy, long limitMs) {
-    violated("stop", "p" + proxy + " has not stopped in " + limitMs + " ms");
+    reportViolation("stop", "p" + proxy + " has not stopped in " + limitMs + " ms");
   }
 }
--- a/src/main/java/pathgw/simulation/invariant/RequestRecord.java
+++ b/src/main/java/pathgw/simulation/invariant/RequestRecord.java
@@ -29,7 +29,7 @@
   final List<AttemptRecord> attempts = new ArrayList<>(2);
 
   /** Values and receipts that were made for this request and may be served for it. */
-  final List<String> madeResponses = new ArrayList<>(2);
+  final List<String> createdResponses = new ArrayList<>(2);
 
   /** When the client had its response, left, or lost its connection. */
   long endedAtNanos = NOT_ENDED;
@@ -52,7 +52,7 @@
   }
 
   /** The proxy has decided to reject or fail the request; only the first decision counts. */
-  void decided(long atNanos) {
+  void markDecided(long atNanos) {
     if (!isDecided()) {
       decidedAtNanos = atNanos;
     }
--- a/src/main/java/pathgw/simulation/invariant/ResourceInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/ResourceInvariants.java
@@ -16,12 +16,12 @@
   private static final int MAX_REQUESTS_PER_CLIENT = 16;
 
   /** Service has recovered by then, as measured over the last three seconds. */
-  private static final long RECOVERY_MS = 9000;
+  private static final long RECOVERY_TIME_MS = 9000;
 
   /** With less spare capacity than this, service need not recover. */
-  private static final double CAPACITY_TO_RECOVER = 2;
+  private static final double MIN_CAPACITY_FACTOR = 2;
 
-  private static final double RECOVERED_SERVICE_RATE = 0.8;
+  private static final double MIN_RECOVERED_SERVICE_RATE = 0.8;
   private static final double MILLIS_PER_SECOND = 1000.0;
 
   private final RunContext run;
@@ -31,33 +31,39 @@
   }
 
   /** Checks the bounds of a proxy after each of its steps. */
-  void checkBounds(int proxy, ResourceUsage held) {
-    if (held.clients() > held.maxClients()
-        || held.nodeConnections() > held.maxNodeConnections()
-        || held.requests() > held.maxClients() * MAX_REQUESTS_PER_CLIENT) {
-      run.violations.report(RULE, "bounds", "p" + proxy + " holds " + held);
+  void checkBounds(int proxy, ResourceUsage usage) {
+    if (usage.clients() > usage.maxClients()
+        || usage.nodeConnections() > usage.maxNodeConnections()
+        || usage.requests() > usage.maxClients() * MAX_REQUESTS_PER_CLIENT) {
+      run.violations.report(RULE, "bounds", "p" + proxy + " holds " + usage);
     }
-    int descriptors = held.clients() + held.nodeConnections() + OTHER_DESCRIPTORS;
+    int descriptors = usage.clients() + usage.nodeConnections() + OTHER_DESCRIPTORS;
     if (descriptors > run.limits.maxDescriptors()) {
       run.violations.report(
           RULE,
           "descriptors",
-          "p" + proxy + " holds " + held + " with " + run.limits.maxDescriptors() + " descriptors");
+          "p"
+              + proxy
+              + " holds "
+              + usage
+              + " with "
+              + run.limits.maxDescriptors()
+              + " descriptors");
     }
   }
 
   /** Checks at the end of a run, when no client is left, that a proxy holds nothing. */
-  void checkNothingHeld(int proxy, ResourceUsage held) {
-    if (held.requests() > 0 || held.clients() > 0 || held.nodeConnections() > 0) {
-      run.violations.report(RULE, "leak", "p" + proxy + " still holds " + held);
+  void checkNothingHeld(int proxy, ResourceUsage usage) {
+    if (usage.requests() > 0 || usage.clients() > 0 || usage.nodeConnections() > 0) {
+      run.violations.report(RULE, "leak", "p" + proxy + " still holds " + usage);
     }
   }
 
   /** See {@link InvariantChecker#checkServiceRecovered}. */
   void checkServiceRecovered(double capacityFactor, long faultFreeMs, double serviceRate) {
-    if (capacityFactor >= CAPACITY_TO_RECOVER
-        && faultFreeMs >= RECOVERY_MS
-        && serviceRate < RECOVERED_SERVICE_RATE) {
+    if (capacityFactor >= MIN_CAPACITY_FACTOR
+        && faultFreeMs >= RECOVERY_TIME_MS
+        && serviceRate < MIN_RECOVERED_SERVICE_RATE) {
       run.violations.report(
           RULE,
           "service",
--- a/src/main/java/pathgw/simulation/invariant/RunContext.java
+++ b/src/main/java/pathgw/simulation/invariant/RunContext.java
@@ -11,7 +11,7 @@
   static final long SOCKET_ALLOWANCE_NANOS = 50_000_000;
 
   /** How long a response may take to its client, and a client's leaving to the proxy. */
-  static final long TRANSIT_NANOS = 10_000_000;
+  static final long MAX_TRANSIT_NANOS = 10_000_000;
 
   static final int NANOS_PER_MILLI = 1_000_000;
 
