--- a/src/main/java/pathgw/simulation/DiscoveryFaults.java
+++ b/src/main/java/pathgw/simulation/DiscoveryFaults.java
@@ -45,7 +45,7 @@
 
   /** Lists a share of the nodes as draining; they continue to serve. */
   private void listAsDraining(Fault fault) {
-    List<SimulatedNode> nodes = environment.members().stayingNodes().toList();
+    List<SimulatedNode> nodes = environment.members().activeNodes().toList();
     int count = (int) Math.ceil(nodes.size() * Math.min(1, fault.magnitude()));
     for (int i = 0; i < count; i++) {
       SimulatedNode node = nodes.get(i);
--- a/src/main/java/pathgw/simulation/FaultInjector.java
+++ b/src/main/java/pathgw/simulation/FaultInjector.java
@@ -102,13 +102,14 @@
   }
 
   private void injectAtClients(Fault fault) {
-    ClientBehavior habits = cluster.clients().behavior();
+    ClientBehavior clientBehavior = cluster.clients().behavior();
     double steadyRate = environment.scenario().requestsPerSecond();
     switch (fault.kind()) {
-      case BURST -> timer.apply(fault, factor -> habits.requestsPerSecond = steadyRate * factor, 1);
-      case HOT -> timer.apply(fault, share -> habits.hotKeyShare = share, 0);
-      case GREED -> timer.apply(fault, factor -> habits.firstTenantWeight = factor, 1);
-      case LEAVE -> timer.apply(fault, share -> habits.abandonedShare = share, 0);
+      case BURST ->
+          timer.apply(fault, factor -> clientBehavior.requestsPerSecond = steadyRate * factor, 1);
+      case HOT -> timer.apply(fault, share -> clientBehavior.hotKeyShare = share, 0);
+      case GREED -> timer.apply(fault, factor -> clientBehavior.firstTenantWeight = factor, 1);
+      case LEAVE -> timer.apply(fault, share -> clientBehavior.abandonedShare = share, 0);
       default -> throw new IllegalArgumentException("no fault of clients: " + fault);
     }
   }
--- a/src/main/java/pathgw/simulation/NodeFaults.java
+++ b/src/main/java/pathgw/simulation/NodeFaults.java
@@ -104,7 +104,7 @@
   }
 
   private void die(SimulatedNode node, Fault fault) {
-    if (!node.isStaying() || (fault.isPermanent() && !members.hasSpareNodes())) {
+    if (!node.isActive() || (fault.isPermanent() && !members.mayRemoveNode())) {
       return;
     }
     VirtualProcess process = node.process();
@@ -128,7 +128,7 @@
   }
 
   private void cutOff(SimulatedNode node, Fault fault) {
-    if (!node.isStaying() || fault.isPermanent()) {
+    if (!node.isActive() || fault.isPermanent()) {
       return;
     }
     VirtualProcess process = node.process();
@@ -146,14 +146,14 @@
         () -> {
           reconnected[0] = true;
           process.reconnect();
-          if (node.process() == process && node.isStaying()) {
+          if (node.process() == process && node.isActive()) {
             cluster.discovery().publish(node, EndpointHealth.READY);
           }
         });
   }
 
   private void drain(SimulatedNode node) {
-    if (!node.isStaying() || node.process().isCutOff() || !members.hasSpareNodes()) {
+    if (!node.isActive() || node.process().isCutOff() || !members.mayRemoveNode()) {
       return;
     }
     node.markLeaving();
@@ -166,7 +166,7 @@
 
   /** Replaces a share of the nodes by new ones, one after another. */
   void deploy(Fault fault) {
-    List<SimulatedNode> oldNodes = members.stayingNodes().toList();
+    List<SimulatedNode> oldNodes = members.activeNodes().toList();
     int count = (int) Math.ceil(oldNodes.size() * Math.min(1, fault.magnitude()));
     for (int i = 0; i < count; i++) {
       SimulatedNode oldNode = oldNodes.get(i);
--- a/src/main/java/pathgw/simulation/cluster/Cluster.java
+++ b/src/main/java/pathgw/simulation/cluster/Cluster.java
@@ -17,7 +17,7 @@
 public final class Cluster {
   private static final String CLIENT_HOST = "10.4.0.1";
   private static final long CONNECT_TIMEOUT_NANOS = 1_000_000_000L;
-  private static final Duration CLIENTS_START_AFTER = Duration.ofMillis(300);
+  private static final Duration CLIENT_START_DELAY = Duration.ofMillis(300);
   private static final List<String> TENANTS = List.of("one", "two", "three");
 
   private final RunEnvironment environment;
@@ -103,11 +103,11 @@
     for (int proxy = 0; proxy < scenario.proxies(); proxy++) {
       proxies.addProxy();
     }
-    ClientBehavior habits = clients.behavior();
-    habits.requestsPerSecond = scenario.requestsPerSecond();
-    habits.malformedPerSecond = scenario.invalidClientsPerSecond();
-    habits.keptOpenShare = scenario.idleClientShare();
-    clientsProcess.schedule(CLIENTS_START_AFTER, clients::start);
+    ClientBehavior clientBehavior = clients.behavior();
+    clientBehavior.requestsPerSecond = scenario.requestsPerSecond();
+    clientBehavior.malformedPerSecond = scenario.invalidClientsPerSecond();
+    clientBehavior.keptOpenShare = scenario.idleClientShare();
+    clientsProcess.schedule(CLIENT_START_DELAY, clients::start);
   }
 
   /** What all parts of the run share. */
--- a/src/main/java/pathgw/simulation/cluster/ClusterMembers.java
+++ b/src/main/java/pathgw/simulation/cluster/ClusterMembers.java
@@ -28,22 +28,22 @@
 
   /** The proxy with a name like {@code p7}. */
   public SimulatedProxy proxyNamed(String name) {
-    return proxies.get(numberIn(name));
+    return proxies.get(parseNumber(name));
   }
 
   /** The nodes that run and are not leaving. */
-  public Stream<SimulatedNode> stayingNodes() {
-    return nodes.stream().filter(SimulatedNode::isStaying);
+  public Stream<SimulatedNode> activeNodes() {
+    return nodes.stream().filter(SimulatedNode::isActive);
   }
 
   /** Whether another node may leave for good: more than half of the first ones stay. */
-  public boolean hasSpareNodes() {
-    return stayingNodes().count() > Math.max(1, scenario.nodes() / 2);
+  public boolean mayRemoveNode() {
+    return activeNodes().count() > Math.max(1, scenario.nodes() / 2);
   }
 
   /** How many times the steady load the remaining nodes can serve. */
   public double capacityFactor() {
-    double remainingShare = (double) stayingNodes().count() / scenario.nodes();
+    double remainingShare = (double) activeNodes().count() / scenario.nodes();
     return scenario.capacityFactor() * Math.min(1, remainingShare);
   }
 
@@ -78,14 +78,14 @@
   }
 
   private SimulatedNode node(String name) {
-    return nodes.get(numberIn(name));
+    return nodes.get(parseNumber(name));
   }
 
   private static boolean isNode(String name) {
     return name.startsWith(SimulatedNode.NAME_PREFIX);
   }
 
-  private static int numberIn(String name) {
+  private static int parseNumber(String name) {
     return Integer.parseInt(name.substring(1));
   }
 }
--- a/src/main/java/pathgw/simulation/cluster/NodeLifecycle.java
+++ b/src/main/java/pathgw/simulation/cluster/NodeLifecycle.java
@@ -25,7 +25,7 @@
   private static final int NANOS_PER_SECOND = 1_000_000_000;
 
   private static final int NODE_SLOTS = 1;
-  private static final int NODE_QUEUE = 24;
+  private static final int NODE_QUEUE_LENGTH = 24;
   private static final int NODE_MAX_COPIES = 4096;
   private static final double MIN_SERVICE_SECONDS = 0.004;
   private static final double MAX_SERVICE_SECONDS = 0.06;
@@ -33,16 +33,16 @@
   private static final int MIN_ORIGIN_SLOTS = 3;
 
   /** Origin slots for each request a second of the steady load. */
-  private static final double ORIGIN_SLOTS_PER_RATE = 0.01;
+  private static final double ORIGIN_SLOTS_PER_REQUEST_PER_SECOND = 0.01;
 
   private static final Duration ORIGIN_SERVICE_TIME = Duration.ofMillis(25);
-  private static final int ORIGIN_QUEUE = 64;
-  private static final int ORIGIN_CONNECTIONS = 200;
+  private static final int ORIGIN_QUEUE_LENGTH = 64;
+  private static final int ORIGIN_MAX_CONNECTIONS = 200;
   private static final double ORIGIN_OVERLOAD_FACTOR = 2.5;
   private static final Duration ORIGIN_DOWN_TIME = Duration.ofSeconds(3);
 
   /** A node that failed is listed as gone this much later. */
-  private static final long CRASH_LISTED_AFTER_MS = 500;
+  private static final long CRASH_LISTING_DELAY_MS = 500;
 
   private final RunEnvironment environment;
   private final Scenario scenario;
@@ -52,8 +52,8 @@
   private final FakeOrigin origin;
   private final FakeCacheNode.Parameters nodeParameters;
   private final Map<String, DedupMemory> dedupMemories = new LinkedHashMap<>();
-  private final Map<String, List<SimulatedNode>> nodesMissing = new LinkedHashMap<>();
-  private int usedAddresses;
+  private final Map<String, List<SimulatedNode>> missedNodesByRequestId = new LinkedHashMap<>();
+  private int allocatedAddresses;
 
   NodeLifecycle(RunEnvironment environment, SimulatedDiscovery discovery) {
     this.environment = environment;
@@ -68,17 +68,20 @@
             environment.checker(),
             originFaults,
             originParameters(),
-            new NodeCopies());
+            new CacheUpdater());
     nodeParameters = nodeParameters();
   }
 
   private FakeOrigin.Parameters originParameters() {
-    double slots = scenario.requestsPerSecond() * ORIGIN_SLOTS_PER_RATE * scenario.capacityFactor();
+    double slots =
+        scenario.requestsPerSecond()
+            * ORIGIN_SLOTS_PER_REQUEST_PER_SECOND
+            * scenario.capacityFactor();
     return new FakeOrigin.Parameters(
         Math.max(MIN_ORIGIN_SLOTS, (int) Math.ceil(slots)),
         ORIGIN_SERVICE_TIME,
-        ORIGIN_QUEUE,
-        ORIGIN_CONNECTIONS,
+        ORIGIN_QUEUE_LENGTH,
+        ORIGIN_MAX_CONNECTIONS,
         ClusterSettings.CONNECTION_IDLE_LIMIT,
         ORIGIN_OVERLOAD_FACTOR,
         ClusterSettings.OVERLOAD_WINDOW,
@@ -94,7 +97,7 @@
     return new FakeCacheNode.Parameters(
         NODE_SLOTS,
         Duration.ofNanos((long) (serviceSeconds * NANOS_PER_SECOND)),
-        NODE_QUEUE,
+        NODE_QUEUE_LENGTH,
         scenario.fleet().maxConnectionsPerNode(),
         ClusterSettings.CONNECTION_IDLE_LIMIT,
         ClusterSettings.COLD_CAPACITY_SHARE,
@@ -182,7 +185,7 @@
         new FakeCacheNode(
             node.host,
             process,
-            environment.random(node.host + usedAddresses),
+            environment.random(node.host + allocatedAddresses),
             new MissObserver(node),
             node.faults(),
             nodeParameters,
@@ -201,26 +204,26 @@
   }
 
   private Address newAddress() {
-    int subnet = usedAddresses % NODES_PER_SUBNET;
-    int host = 1 + usedAddresses / NODES_PER_SUBNET;
-    usedAddresses++;
+    int subnet = allocatedAddresses % NODES_PER_SUBNET;
+    int host = 1 + allocatedAddresses / NODES_PER_SUBNET;
+    allocatedAddresses++;
     return new Address("10.1." + subnet + "." + host, NODE_PORT);
   }
 
   private DedupMemory dedupMemory(SimulatedNode node) {
-    String group =
+    String dedupScopeKey =
         switch (scenario.dedupScope()) {
           case "zone" -> "z" + node.zone();
           case "cell" -> "c" + node.failureDomain();
           default -> "all";
         };
     return dedupMemories.computeIfAbsent(
-        group, first -> new DedupMemory(Duration.ofMillis(scenario.dedupWindowMs())));
+        dedupScopeKey, first -> new DedupMemory(Duration.ofMillis(scenario.dedupWindowMs())));
   }
 
   private void crash(SimulatedNode node, VirtualProcess process) {
     process.kill();
-    discovery.publishLater(node, EndpointHealth.GONE, CRASH_LISTED_AFTER_MS);
+    discovery.publishLater(node, EndpointHealth.GONE, CRASH_LISTING_DELAY_MS);
   }
 
   /** Notes at which nodes a read missed, so that the origin's response leaves a copy there. */
@@ -235,17 +238,17 @@
     @Override
     public void cacheMissed(String target, Request command, boolean cold) {
       if (!scenario.readThrough()) {
-        nodesMissing.computeIfAbsent(command.id(), id -> new ArrayList<>(1)).add(node);
+        missedNodesByRequestId.computeIfAbsent(command.id(), id -> new ArrayList<>(1)).add(node);
       }
       super.cacheMissed(target, command, cold);
     }
   }
 
   /** Stores and drops copies at the nodes as the origin serves reads and writes. */
-  private final class NodeCopies implements FakeOrigin.CacheListener {
+  private final class CacheUpdater implements FakeOrigin.CacheListener {
     @Override
     public void valueFetched(Request command, int version) {
-      List<SimulatedNode> missing = nodesMissing.remove(command.id());
+      List<SimulatedNode> missing = missedNodesByRequestId.remove(command.id());
       if (missing == null) {
         return;
       }
--- a/src/main/java/pathgw/simulation/cluster/ProxyConfigurations.java
+++ b/src/main/java/pathgw/simulation/cluster/ProxyConfigurations.java
@@ -31,7 +31,7 @@
   }
 
   /** The configuration of a proxy that starts or reloads now. */
-  String of(SimulatedProxy proxy) {
+  String jsonFor(SimulatedProxy proxy) {
     return String.format(
         Locale.ROOT,
         "{\"name\":\"%s\",\"listen\":\"%s\",\"discovery\":\"%s\",\"seed\":\"%x\","
--- a/src/main/java/pathgw/simulation/cluster/ProxyLifecycle.java
+++ b/src/main/java/pathgw/simulation/cluster/ProxyLifecycle.java
@@ -21,7 +21,7 @@
   private static final long STOP_LIMIT_MS = 4500;
 
   /** A stall that ended less than this before the limit excuses a late shutdown. */
-  private static final long STALL_EXCUSE_NANOS = 3_000_000_000L;
+  private static final long STALL_ALLOWANCE_NANOS = 3_000_000_000L;
 
   private static final long MIN_RESTART_DELAY_MS = 1;
 
@@ -47,7 +47,7 @@
   void addProxy() {
     SimulatedProxy proxy = new SimulatedProxy(environment.members().proxies().size());
     environment.members().proxies().add(proxy);
-    discovery.rememberList(proxy);
+    discovery.saveListForRestart(proxy);
     start(proxy);
   }
 
@@ -62,7 +62,7 @@
     proxy.startedAtNanos = environment.now();
     proxy.serving = false;
     proxy.stopping = false;
-    Config config = parse(mutation.config(configurations.of(proxy)));
+    Config config = parse(mutation.config(configurations.jsonFor(proxy)));
     environment.checker().proxyStarted(number, proxy.lastKnownHealth, proxy.lastKnownVersion);
     proxy.server =
         new ProxyServer(
@@ -78,11 +78,11 @@
         .server
         .start()
         .onComplete(
-            port -> nowServing(proxy),
+            port -> servingStarted(proxy),
             error -> environment.checker().proxyStartFailed(proxy.number, error));
   }
 
-  private void nowServing(SimulatedProxy proxy) {
+  private void servingStarted(SimulatedProxy proxy) {
     proxy.serving = true;
     clients.proxyStarted(proxy.number);
     environment.trace().addLine(environment.now(), () -> proxy.name() + " serves");
@@ -170,18 +170,20 @@
                     .server
                     .stop()
                     .onSuccess(
-                        done -> environment.afterNanos(0, () -> stopped(proxy, process, delayMs))));
+                        done ->
+                            environment.afterNanos(
+                                0, () -> shutdownCompleted(proxy, process, delayMs))));
   }
 
   private void checkStopped(SimulatedProxy proxy, VirtualProcess process) {
     boolean stillRuns = proxy.process == process && !process.isDead();
-    boolean stalled = process.stalledUntilNanos() >= environment.now() - STALL_EXCUSE_NANOS;
+    boolean stalled = process.stalledUntilNanos() >= environment.now() - STALL_ALLOWANCE_NANOS;
     if (stillRuns && !stalled) {
       environment.checker().proxyStopTimedOut(proxy.number, STOP_LIMIT_MS);
     }
   }
 
-  private void stopped(SimulatedProxy proxy, VirtualProcess process, long delayMs) {
+  private void shutdownCompleted(SimulatedProxy proxy, VirtualProcess process, long delayMs) {
     if (proxy.process != process || process.isDead()) {
       return;
     }
@@ -199,7 +201,7 @@
   }
 
   private void reload(SimulatedProxy proxy) {
-    Config config = parse(configurations.of(proxy));
+    Config config = parse(configurations.jsonFor(proxy));
     environment.network().runSoon(proxy.process, () -> proxy.server.reload(config));
   }
 }
--- a/src/main/java/pathgw/simulation/cluster/SimulatedDiscovery.java
+++ b/src/main/java/pathgw/simulation/cluster/SimulatedDiscovery.java
@@ -26,7 +26,7 @@
   private static final String SECOND_HOST = "10.2.0.2";
 
   /** After a move, connections to the old address are closed this much later. */
-  private static final long OLD_CONNECTIONS_CLOSE_AFTER_MS = 1500;
+  private static final long OLD_CONNECTION_CLOSE_DELAY_MS = 1500;
 
   private final RunEnvironment environment;
   private final VirtualProcess process;
@@ -79,7 +79,7 @@
     connections.clear();
     listen();
     environment.afterMillis(
-        OLD_CONNECTIONS_CLOSE_AFTER_MS, () -> oldConnections.forEach(VirtualConnection::close));
+        OLD_CONNECTION_CLOSE_DELAY_MS, () -> oldConnections.forEach(VirtualConnection::close));
   }
 
   /** Lists a node that is there from the start, of which proxies know from their configuration. */
@@ -104,11 +104,11 @@
 
   /** Lists a node with a new health after a delay, unless it was started anew by then. */
   public void publishLater(SimulatedNode node, EndpointHealth health, long delayMs) {
-    VirtualProcess processNow = node.process;
+    VirtualProcess initialProcess = node.process;
     environment.afterMillis(
         delayMs,
         () -> {
-          if (node.process == processNow) {
+          if (node.process == initialProcess) {
             publish(node, health);
           }
         });
@@ -126,15 +126,15 @@
     if (proxy.process.isDead() || !service.hasHealth(entry.host(), entry.health())) {
       return;
     }
-    long reachableFrom =
+    long reachableSinceNanos =
         Math.max(change.publishedAtNanos, Math.max(unreachableUntilNanos, proxy.startedAtNanos));
-    long remaining = reachableFrom + NOTIFICATION_LIMIT.toNanos() - environment.now();
-    if (remaining <= 0) {
+    long remainingNanos = reachableSinceNanos + NOTIFICATION_LIMIT.toNanos() - environment.now();
+    if (remainingNanos <= 0) {
       environment
           .checker()
           .assumeNotified(proxy.number, entry.host(), entry.health(), change.version);
     } else if (unreachableUntilNanos < FOREVER_NANOS) {
-      environment.afterNanos(remaining, () -> assumeNotified(proxy, change));
+      environment.afterNanos(remainingNanos, () -> assumeNotified(proxy, change));
     }
   }
 
@@ -180,7 +180,7 @@
   }
 
   /** The proxy's next process will start with the list as it is now. */
-  void rememberList(SimulatedProxy proxy) {
+  void saveListForRestart(SimulatedProxy proxy) {
     // A complete list is many events of one version; the proxy knows no more after the second.
     if (proxy.lastKnownList != null && proxy.lastKnownVersion == service.version()) {
       return;
@@ -201,7 +201,7 @@
     public void endpointNotified(String proxy, String host, String health, long version) {
       super.endpointNotified(proxy, host, health, version);
       if (host.isEmpty() || !health.isEmpty()) {
-        rememberList(environment.members().proxyNamed(proxy));
+        saveListForRestart(environment.members().proxyNamed(proxy));
       }
     }
   }
--- a/src/main/java/pathgw/simulation/cluster/SimulatedNode.java
+++ b/src/main/java/pathgw/simulation/cluster/SimulatedNode.java
@@ -61,7 +61,7 @@
   }
 
   /** Whether it runs and is not about to leave. */
-  public boolean isStaying() {
+  public boolean isActive() {
     return !leaving && !process.isDead();
   }
 
