--- a/src/main/java/pathgw/simulation/ScenarioRun.java
+++ b/src/main/java/pathgw/simulation/ScenarioRun.java
@@ -75,7 +75,7 @@
   }
 
   private void scheduleAt(long atMs, Runnable action) {
-    events.at(atMs * NANOS_PER_MILLI, null, action);
+    events.scheduleAtNanos(atMs * NANOS_PER_MILLI, null, action);
   }
 
   private long playEvents() {
@@ -83,7 +83,7 @@
     long steps = 0;
     while (checker.firstViolation() == null && events.step(endNanos)) {
       steps++;
-      checkBounds(events.lastOwner());
+      checkBounds(events.lastEventOwner());
     }
     return steps;
   }
--- a/src/main/java/pathgw/simulation/cluster/ProxyLifecycle.java
+++ b/src/main/java/pathgw/simulation/cluster/ProxyLifecycle.java
@@ -70,7 +70,7 @@
             config,
             environment.scenario().warmUpRounds(),
             environment.checker().requestObserver(number));
-    environment.network().runSoon(process, () -> startServer(proxy));
+    environment.network().runAfterDueEvents(process, () -> startServer(proxy));
   }
 
   private void startServer(SimulatedProxy proxy) {
@@ -163,7 +163,7 @@
     environment.afterMillis(STOP_LIMIT_MS, () -> checkStopped(proxy, process));
     environment
         .network()
-        .runSoon(
+        .runAfterDueEvents(
             process,
             () ->
                 proxy
@@ -202,6 +202,6 @@
 
   private void reload(SimulatedProxy proxy) {
     Config config = parse(configurations.jsonFor(proxy));
-    environment.network().runSoon(proxy.process, () -> proxy.server.reload(config));
+    environment.network().runAfterDueEvents(proxy.process, () -> proxy.server.reload(config));
   }
 }
--- a/src/main/java/pathgw/simulation/cluster/RunEnvironment.java
+++ b/src/main/java/pathgw/simulation/cluster/RunEnvironment.java
@@ -89,7 +89,7 @@
 
   /** Schedules an action of the world, not of a process, after a delay. */
   public void afterNanos(long delayNanos, Runnable action) {
-    events.in(delayNanos, null, action);
+    events.scheduleInNanos(delayNanos, null, action);
   }
 
   /** A generator of its own for one part of the run, so that parts do not disturb each other. */
--- a/src/main/java/pathgw/simulation/network/EventQueue.java
+++ b/src/main/java/pathgw/simulation/network/EventQueue.java
@@ -47,7 +47,7 @@
   private final PriorityQueue<Event> queue = new PriorityQueue<>();
   private long nowNanos;
   private long nextOrder;
-  private VirtualProcess lastOwner;
+  private VirtualProcess lastEventOwner;
 
   /** Virtual nanoseconds since the run began. */
   public long now() {
@@ -55,20 +55,20 @@
   }
 
   /** Schedules an action at a time, or now if that time has passed. */
-  public Event at(long atNanos, VirtualProcess owner, Runnable action) {
+  public Event scheduleAtNanos(long atNanos, VirtualProcess owner, Runnable action) {
     Event event = new Event(Math.max(nowNanos, atNanos), nextOrder++, owner, action);
     queue.add(event);
     return event;
   }
 
   /** Schedules an action after a delay in nanoseconds. */
-  public Event in(long delayNanos, VirtualProcess owner, Runnable action) {
-    return at(nowNanos + delayNanos, owner, action);
+  public Event scheduleInNanos(long delayNanos, VirtualProcess owner, Runnable action) {
+    return scheduleAtNanos(nowNanos + delayNanos, owner, action);
   }
 
   /** The process to which the last event happened; null for the world. */
-  public VirtualProcess lastOwner() {
-    return lastOwner;
+  public VirtualProcess lastEventOwner() {
+    return lastEventOwner;
   }
 
   /** Runs the next event; false once none is left up to {@code endNanos}. */
@@ -80,7 +80,7 @@
     }
     queue.poll();
     nowNanos = next.atNanos;
-    lastOwner = next.owner;
+    lastEventOwner = next.owner;
     if (next.owner == null) {
       next.run();
     } else {
--- a/src/main/java/pathgw/simulation/network/SimulatedTransport.java
+++ b/src/main/java/pathgw/simulation/network/SimulatedTransport.java
@@ -62,7 +62,7 @@
 
   @Override
   public Runnable runAfter(Duration delay, Runnable action) {
-    return events.in(delay.toNanos(), process, action)::cancel;
+    return events.scheduleInNanos(delay.toNanos(), process, action)::cancel;
   }
 
   @Override
@@ -82,7 +82,7 @@
         address,
         process,
         connection -> {
-          network.runSoon(process, () -> acceptor.accept(connection));
+          network.runAfterDueEvents(process, () -> acceptor.accept(connection));
           return true;
         });
     return Future.succeededFuture(address.port());
--- a/src/main/java/pathgw/simulation/network/VirtualConnection.java
+++ b/src/main/java/pathgw/simulation/network/VirtualConnection.java
@@ -20,7 +20,7 @@
   private static final int WINDOW_BYTES = 1 << 18;
 
   /** From this many unread bytes on, the connection counts as full for its writer. */
-  private static final int FULL_BYTES = 1 << 16;
+  private static final int WRITE_QUEUE_FULL_BYTES = 1 << 16;
 
   private final VirtualNetwork network;
   private final VirtualProcess owner;
@@ -58,7 +58,7 @@
     owner.opened(this);
   }
 
-  static void join(VirtualConnection first, VirtualConnection second) {
+  static void linkEnds(VirtualConnection first, VirtualConnection second) {
     first.remoteEnd = second;
     second.remoteEnd = first;
   }
@@ -87,7 +87,7 @@
   public void onData(Consumer<Buffer> handler) {
     dataHandler = handler;
     if (!unreadBuffers.isEmpty()) {
-      network.runSoon(owner, this::deliverUnread);
+      network.runAfterDueEvents(owner, this::deliverUnread);
     }
   }
 
@@ -169,17 +169,17 @@
     unreadByRemote -= length;
     while (unreadByRemote <= WINDOW_BYTES && !pendingWrites.isEmpty()) {
       Promise<Void> written = pendingWrites.poll();
-      network.runSoon(owner, written::complete);
+      network.runAfterDueEvents(owner, written::complete);
     }
-    if (wasFull && unreadByRemote <= FULL_BYTES / 2) {
+    if (wasFull && unreadByRemote <= WRITE_QUEUE_FULL_BYTES / 2) {
       wasFull = false;
-      network.runSoon(owner, () -> writableHandler.run());
+      network.runAfterDueEvents(owner, () -> writableHandler.run());
     }
   }
 
   @Override
   public boolean isWriteQueueFull() {
-    return unreadByRemote >= FULL_BYTES;
+    return unreadByRemote >= WRITE_QUEUE_FULL_BYTES;
   }
 
   @Override
@@ -191,7 +191,7 @@
   public void resume() {
     if (paused) {
       paused = false;
-      network.runSoon(owner, this::deliverUnread);
+      network.runAfterDueEvents(owner, this::deliverUnread);
     }
   }
 
@@ -202,7 +202,7 @@
       boolean resets = !unreadBuffers.isEmpty();
       closeLocally();
       if (resets) {
-        remoteEnd.breakNow();
+        remoteEnd.markBroken();
       }
       notifyRemoteOfEnd();
     }
@@ -219,12 +219,12 @@
     if (!closed) {
       closeLocally();
       lostAfterNanos = network.now();
-      remoteEnd.breakNow();
+      remoteEnd.markBroken();
       notifyRemoteOfEnd();
     }
   }
 
-  private void breakNow() {
+  private void markBroken() {
     lostAfterNanos = network.now();
     closeReason = CloseReason.BROKEN;
   }
@@ -233,7 +233,7 @@
     closed = true;
     closeReason = CloseReason.BROKEN;
     owner.closed(this);
-    network.runSoon(owner, this::notifyClosed);
+    network.runAfterDueEvents(owner, this::notifyClosed);
   }
 
   private void notifyRemoteOfEnd() {
--- a/src/main/java/pathgw/simulation/network/VirtualNetwork.java
+++ b/src/main/java/pathgw/simulation/network/VirtualNetwork.java
@@ -20,12 +20,12 @@
   private static final long LATENCY_NANOS = 100_000;
 
   /** One piece in so many is delayed by up to {@link #MAX_SPIKE_NANOS} more. */
-  private static final int SPIKE_ONE_IN = 64;
+  private static final int PIECES_PER_SPIKE = 64;
 
   private static final int MAX_SPIKE_NANOS = 2_000_000;
 
   /** One write in so many arrives in two pieces. */
-  private static final int SPLIT_ONE_IN = 16;
+  private static final int WRITES_PER_SPLIT = 16;
 
   private static final int FIRST_CLIENT_PORT = 30_000;
 
@@ -44,10 +44,10 @@
   private final BiConsumer<VirtualProcess, Buffer> arrivalObserver;
   private final Map<Address, Listener> listeners = new LinkedHashMap<>();
   private final Map<Address, DatagramReceiver> datagramReceivers = new LinkedHashMap<>();
-  private final Map<VirtualProcess, Long> connectDelays = new LinkedHashMap<>();
+  private final Map<VirtualProcess, Long> maxConnectDelaysNanos = new LinkedHashMap<>();
   private final Map<VirtualProcess, Double> resetShares = new LinkedHashMap<>();
   private int nextClientPort = FIRST_CLIENT_PORT;
-  private double datagramLoss;
+  private double datagramLossShare;
   private long maxDatagramDelayNanos;
 
   /**
@@ -69,12 +69,12 @@
 
   /** Delays new connections to a process by up to so many nanoseconds. */
   public void setMaxConnectDelay(VirtualProcess target, long delayNanos) {
-    connectDelays.put(target, delayNanos);
+    maxConnectDelaysNanos.put(target, delayNanos);
   }
 
   /** Loses this share of all datagrams, and delays the others by up to so many nanoseconds. */
   public void setDatagramFaults(double lossShare, long maxDelayNanos) {
-    datagramLoss = lossShare;
+    datagramLossShare = lossShare;
     maxDatagramDelayNanos = maxDelayNanos;
   }
 
@@ -85,7 +85,7 @@
 
   /** Where a write of so many bytes is split in two; 0 if it is not. */
   int splitPosition(int length) {
-    return length > 1 && random.nextInt(SPLIT_ONE_IN) == 0 ? 1 + random.nextInt(length - 1) : 0;
+    return length > 1 && random.nextInt(WRITES_PER_SPLIT) == 0 ? 1 + random.nextInt(length - 1) : 0;
   }
 
   long now() {
@@ -97,16 +97,16 @@
     return events.now()
         + LATENCY_NANOS
         + (long) (LATENCY_NANOS * random.nextDouble())
-        + (random.nextInt(SPIKE_ONE_IN) == 0 ? random.nextInt(MAX_SPIKE_NANOS) : 0);
+        + (random.nextInt(PIECES_PER_SPIKE) == 0 ? random.nextInt(MAX_SPIKE_NANOS) : 0);
   }
 
   void runAt(long atNanos, VirtualProcess owner, Runnable action) {
-    events.at(atNanos, owner, action);
+    events.scheduleAtNanos(atNanos, owner, action);
   }
 
   /** Runs an action in a process after the events that are due now. */
-  public void runSoon(VirtualProcess owner, Runnable action) {
-    events.at(events.now(), owner, action);
+  public void runAfterDueEvents(VirtualProcess owner, Runnable action) {
+    events.scheduleAtNanos(events.now(), owner, action);
   }
 
   void observeArrival(VirtualProcess owner, Buffer bytes) {
@@ -133,13 +133,13 @@
       VirtualProcess client, String localHost, Address target, long timeoutNanos) {
     Promise<VirtualConnection> promise = Promise.promise();
     EventQueue.Event timeout =
-        events.in(
+        events.scheduleInNanos(
             timeoutNanos,
             client,
             () ->
                 promise.tryFail(new Transport.ConnectTimeoutException("no answer from " + target)));
     ConnectAttempt attempt = new ConnectAttempt(client, localHost, target, promise, timeout);
-    events.at(arrivalNanos(), null, () -> arrive(attempt));
+    events.scheduleAtNanos(arrivalNanos(), null, () -> deliverConnectAttempt(attempt));
     return promise.future();
   }
 
@@ -164,7 +164,7 @@
     }
   }
 
-  private void arrive(ConnectAttempt attempt) {
+  private void deliverConnectAttempt(ConnectAttempt attempt) {
     VirtualProcess client = attempt.client;
     Listener listener = listeners.get(attempt.target);
     boolean serverCutOff = listener != null && listener.owner.isCutOff();
@@ -175,17 +175,17 @@
     VirtualConnection clientEnd = new VirtualConnection(this, client, localAddress, attempt.target);
     VirtualProcess server = listener == null ? client : listener.owner;
     VirtualConnection serverEnd = new VirtualConnection(this, server, attempt.target, localAddress);
-    VirtualConnection.join(clientEnd, serverEnd);
+    VirtualConnection.linkEnds(clientEnd, serverEnd);
     if (listener == null || server.isDead() || !listener.acceptor.accept(serverEnd)) {
       client.closed(clientEnd);
       server.closed(serverEnd);
-      events.at(arrivalNanos(), client, attempt::refuse);
+      events.scheduleAtNanos(arrivalNanos(), client, attempt::refuse);
       return;
     }
-    long delay = (long) (connectDelays.getOrDefault(server, 0L) * random.nextDouble());
-    long upAtNanos = arrivalNanos() + delay;
-    serverEnd.delayArrivalsUntil(upAtNanos);
-    events.at(upAtNanos, client, () -> attempt.complete(clientEnd));
+    long delay = (long) (maxConnectDelaysNanos.getOrDefault(server, 0L) * random.nextDouble());
+    long establishedAtNanos = arrivalNanos() + delay;
+    serverEnd.delayArrivalsUntil(establishedAtNanos);
+    events.scheduleAtNanos(establishedAtNanos, client, () -> attempt.complete(clientEnd));
   }
 
   /** Receives the datagrams to an address from now on. */
@@ -204,19 +204,19 @@
         (address, receiver) -> {
           boolean addressed =
               target.equals(broadcast) ? !address.equals(source) : address.equals(target);
-          if (addressed && !receiver.owner.isDead() && !losesDatagram()) {
+          if (addressed && !receiver.owner.isDead() && !dropsDatagram()) {
             deliverDatagram(source, bytes.copy(), receiver);
           }
         });
   }
 
-  private boolean losesDatagram() {
-    return datagramLoss != 0 && random.nextDouble() < datagramLoss;
+  private boolean dropsDatagram() {
+    return datagramLossShare != 0 && random.nextDouble() < datagramLossShare;
   }
 
   private void deliverDatagram(Address source, Buffer bytes, DatagramReceiver receiver) {
     long delay = (long) (maxDatagramDelayNanos * random.nextDouble());
-    events.at(
+    events.scheduleAtNanos(
         arrivalNanos() + delay,
         receiver.owner,
         () -> {
--- a/src/main/java/pathgw/simulation/network/VirtualProcess.java
+++ b/src/main/java/pathgw/simulation/network/VirtualProcess.java
@@ -43,7 +43,7 @@
 
   @Override
   public void schedule(Duration delay, Runnable action) {
-    events.in(delay.toNanos(), this, action);
+    events.scheduleInNanos(delay.toNanos(), this, action);
   }
 
   void opened(VirtualConnection connection) {
@@ -77,7 +77,7 @@
   /** Handles nothing until then; events that come meanwhile wait in their order. */
   public void stallUntil(long untilNanos) {
     stalledUntilNanos = Math.max(stalledUntilNanos, untilNanos);
-    events.at(stalledUntilNanos, null, this::handleBacklog);
+    events.scheduleAtNanos(stalledUntilNanos, null, this::handleBacklog);
   }
 
   private void handleBacklog() {
