--- a/src/main/java/pathgw/simulation/DiscoveryFaults.java
+++ b/src/main/java/pathgw/simulation/DiscoveryFaults.java
@@ -13,7 +13,7 @@
 /** Faults of the discovery service and of what it lists. */
 final class DiscoveryFaults {
   /** All nodes of one fault are listed as draining within this. */
-  private static final long DRAIN_SPREAD_NANOS = 1_000_000_000L;
+  private static final long DRAIN_LISTING_SPREAD_NANOS = 1_000_000_000L;
 
   private final SimulatedDiscovery discovery;
   private final RunEnvironment environment;
@@ -50,7 +50,7 @@
     for (int i = 0; i < count; i++) {
       SimulatedNode node = nodes.get(i);
       environment.afterNanos(
-          i * DRAIN_SPREAD_NANOS / count,
+          i * DRAIN_LISTING_SPREAD_NANOS / count,
           () -> {
             node.markLeaving();
             discovery.publish(node, EndpointHealth.DRAINING);
--- a/src/main/java/pathgw/simulation/NodeFaults.java
+++ b/src/main/java/pathgw/simulation/NodeFaults.java
@@ -17,18 +17,18 @@
   private static final double NANOS_PER_MILLI = 1e6;
 
   /** A node that died is listed as gone after this and up to a second more. */
-  private static final long DEATH_LISTED_AFTER_MS = 300;
+  private static final long CRASH_LISTING_DELAY_MS = 300;
 
-  private static final long DEATH_LISTED_SPREAD_MS = 1000;
+  private static final long CRASH_LISTING_SPREAD_MS = 1000;
 
   /** A node that is cut off is listed as gone after this. */
-  private static final long CUT_OFF_LISTED_AFTER_MS = 1000;
+  private static final long CUT_OFF_LISTING_DELAY_MS = 1000;
 
   /** After it was listed as draining: when a node rejects requests, is listed as gone, and ends. */
-  private static final long DRAIN_REJECTS_AFTER_MS = 1000;
+  private static final long DRAIN_REJECTION_DELAY_MS = 1000;
 
-  private static final long DRAIN_LISTED_GONE_AFTER_MS = 2500;
-  private static final long DRAIN_ENDS_AFTER_MS = 3500;
+  private static final long DRAIN_GONE_LISTING_DELAY_MS = 2500;
+  private static final long DRAIN_EXIT_DELAY_MS = 3500;
 
   /** The least time between two nodes that are replaced in a deployment. */
   private static final long MIN_DEPLOY_INTERVAL_MS = 50;
@@ -48,7 +48,7 @@
   /** Injects a fault of one node. */
   void inject(Fault fault, SimulatedNode node) {
     switch (fault.kind()) {
-      case DIES, MOVES -> die(node, fault);
+      case DIES, MOVES -> crash(node, fault);
       case FREEZES -> stall(node.process(), fault);
       case VANISHES -> cutOff(node, fault);
       case DRAINS -> drain(node);
@@ -89,7 +89,7 @@
 
   /** All nodes of a zone die. */
   void loseZone(Fault fault) {
-    zone(fault).forEach(node -> die(node, fault));
+    zone(fault).forEach(node -> crash(node, fault));
   }
 
   /** All machines of a zone are cut off. */
@@ -103,21 +103,21 @@
     return members.nodes().stream().filter(node -> node.zone() == lostZone).toList();
   }
 
-  private void die(SimulatedNode node, Fault fault) {
+  private void crash(SimulatedNode node, Fault fault) {
     if (!node.isActive() || (fault.isPermanent() && !members.mayRemoveNode())) {
       return;
     }
     VirtualProcess process = node.process();
     process.kill();
-    long listedAfterMs = DEATH_LISTED_AFTER_MS + fault.atMs() % DEATH_LISTED_SPREAD_MS;
+    long listedAfterMs = CRASH_LISTING_DELAY_MS + fault.atMs() % CRASH_LISTING_SPREAD_MS;
     cluster.discovery().publishLater(node, EndpointHealth.GONE, listedAfterMs);
     if (!fault.isPermanent()) {
       environment.afterMillis(fault.activeMs(), () -> restart(node, process, fault));
     }
   }
 
-  private void restart(SimulatedNode node, VirtualProcess diedProcess, Fault fault) {
-    if (node.process() != diedProcess) {
+  private void restart(SimulatedNode node, VirtualProcess crashedProcess, Fault fault) {
+    if (node.process() != crashedProcess) {
       return;
     }
     if (fault.kind() == Kind.MOVES) {
@@ -135,7 +135,7 @@
     process.cutOff();
     boolean[] reconnected = {false};
     environment.afterMillis(
-        CUT_OFF_LISTED_AFTER_MS,
+        CUT_OFF_LISTING_DELAY_MS,
         () -> {
           if (!reconnected[0] && node.process() == process && !node.isLeaving()) {
             cluster.discovery().publish(node, EndpointHealth.GONE);
@@ -159,9 +159,9 @@
     node.markLeaving();
     VirtualProcess process = node.process();
     cluster.discovery().publish(node, EndpointHealth.DRAINING);
-    environment.afterMillis(DRAIN_REJECTS_AFTER_MS, () -> node.cacheNode().drain());
-    cluster.discovery().publishLater(node, EndpointHealth.GONE, DRAIN_LISTED_GONE_AFTER_MS);
-    environment.afterMillis(DRAIN_ENDS_AFTER_MS, process::kill);
+    environment.afterMillis(DRAIN_REJECTION_DELAY_MS, () -> node.cacheNode().drain());
+    cluster.discovery().publishLater(node, EndpointHealth.GONE, DRAIN_GONE_LISTING_DELAY_MS);
+    environment.afterMillis(DRAIN_EXIT_DELAY_MS, process::kill);
   }
 
   /** Replaces a share of the nodes by new ones, one after another. */
--- a/src/main/java/pathgw/simulation/ScenarioRun.java
+++ b/src/main/java/pathgw/simulation/ScenarioRun.java
@@ -16,10 +16,10 @@
 /** Plays one scenario from its start to its end, or to the first violation of a rule. */
 final class ScenarioRun {
   /** The service rate is measured over this last part of the run. */
-  private static final long SERVICE_MEASURED_MS = 3000;
+  private static final long SERVICE_RATE_WINDOW_MS = 3000;
 
   /** After the last request, until nothing may be held any more. */
-  private static final long SETTLE_MS = 8000;
+  private static final long SETTLE_TIME_MS = 8000;
 
   private static final long NANOS_PER_MILLI = RunEnvironment.NANOS_PER_MILLI;
 
@@ -70,7 +70,8 @@
       scheduleAt(fault.atMs(), () -> faultInjector.inject(fault));
     }
     scheduleAt(
-        Math.max(0, scenario.durationMs() - SERVICE_MEASURED_MS), checker::startMeasuringService);
+        Math.max(0, scenario.durationMs() - SERVICE_RATE_WINDOW_MS),
+        checker::startMeasuringService);
     scheduleAt(scenario.durationMs(), cluster.clients()::stop);
   }
 
@@ -79,7 +80,7 @@
   }
 
   private long playEvents() {
-    long endNanos = (scenario.durationMs() + SETTLE_MS) * NANOS_PER_MILLI;
+    long endNanos = (scenario.durationMs() + SETTLE_TIME_MS) * NANOS_PER_MILLI;
     long steps = 0;
     while (checker.firstViolation() == null && events.step(endNanos)) {
       steps++;
@@ -104,7 +105,7 @@
         checker.checkNothingHeld(proxy.number(), proxy.server().resourceUsage());
       }
     }
-    long lastRequestMs = events.now() / NANOS_PER_MILLI - SETTLE_MS;
+    long lastRequestMs = events.now() / NANOS_PER_MILLI - SETTLE_TIME_MS;
     checker.checkServiceRecovered(
         environment.members().capacityFactor(), lastRequestMs - scenario.lastFaultEndMs());
   }
--- a/src/main/java/pathgw/simulation/ScenarioShrinker.java
+++ b/src/main/java/pathgw/simulation/ScenarioShrinker.java
@@ -73,8 +73,8 @@
 
   /** What comes after the violation is not its cause; but a leak shows only at the end of a run. */
   private void shrinkDuration() {
-    long untilViolation = violation.atNanos() / NANOS_PER_MILLI + DURATION_MARGIN_MS;
-    long[] durations = {smallest.durationMs() / 4, smallest.durationMs() / 2, untilViolation};
+    long violationDurationMs = violation.atNanos() / NANOS_PER_MILLI + DURATION_MARGIN_MS;
+    long[] durations = {smallest.durationMs() / 4, smallest.durationMs() / 2, violationDurationMs};
     for (long duration : durations) {
       long durationMs = Math.max(MIN_DURATION_MS, duration);
       if (durationMs < smallest.durationMs()) {
--- a/src/main/java/pathgw/simulation/scenario/ScenarioGenerator.java
+++ b/src/main/java/pathgw/simulation/scenario/ScenarioGenerator.java
@@ -16,12 +16,12 @@
   private static final long DURATION_MS = 20_000;
 
   /** Faults end by then, so that the run shows whether service recovers. */
-  private static final long FAULTS_END_MS = 11_000;
+  private static final long MAX_FAULT_END_MS = 11_000;
 
   private static final int MAX_CONCURRENT_FAULTS = 4;
 
   /** One large fleet in so many has all its watches silent. */
-  private static final int SILENT_WATCHES_ONE_IN = 4;
+  private static final int SEEDS_PER_SILENT_WATCH_FLEET = 4;
 
   private final Random random;
 
@@ -81,7 +81,7 @@
   public static Scenario fleet(long seed) {
     ScenarioGenerator generator = new ScenarioGenerator(seed);
     Scenario drawn =
-        seed % SILENT_WATCHES_ONE_IN == SILENT_WATCHES_ONE_IN - 1
+        seed % SEEDS_PER_SILENT_WATCH_FLEET == SEEDS_PER_SILENT_WATCH_FLEET - 1
             ? generator.fleetWithSilentWatches()
             : generator.largeFleet();
     return drawn.with(ScenarioParameter.SEED, seed);
@@ -198,7 +198,7 @@
           case PROXY -> random.nextInt(shape.proxies());
           case CLUSTER -> Fault.NO_TARGET;
         };
-    long durationMs = Math.min(200 + random.nextInt(3000), FAULTS_END_MS - at);
+    long durationMs = Math.min(200 + random.nextInt(3000), MAX_FAULT_END_MS - at);
     double magnitude =
         switch (kind) {
           case SLOW, ORIGIN_SLOW -> 2 + random.nextInt(12);
--- a/src/test/java/pathgw/simulation/SeededEndpointBugTest.java
+++ b/src/test/java/pathgw/simulation/SeededEndpointBugTest.java
@@ -39,7 +39,7 @@
   }
 
   /** Empty lines of its own making keep a proxy from seeing that its watch has fallen silent. */
-  private static Mutation missesSilentWatches() {
+  private static Mutation hidesSilentWatches() {
     return openedConnections(
         MutatedTransport::isDiscovery,
         (transport, connection) ->
@@ -47,15 +47,15 @@
               @Override
               public void onData(Consumer<Buffer> handler) {
                 delegate.onData(handler);
-                repeat(() -> handler.accept(Buffer.buffer("1\r\n\n\r\n")));
+                repeatPeriodically(() -> handler.accept(Buffer.buffer("1\r\n\n\r\n")));
               }
 
-              private void repeat(Runnable emptyLine) {
+              private void repeatPeriodically(Runnable sendEmptyLine) {
                 transport.runAfter(
                     Duration.ofSeconds(2),
                     () -> {
-                      emptyLine.run();
-                      repeat(emptyLine);
+                      sendEmptyLine.run();
+                      repeatPeriodically(sendEmptyLine);
                     });
               }
             });
@@ -66,7 +66,7 @@
     assertDetected(
         RULE,
         KIND,
-        missesSilentWatches(),
+        hidesSilentWatches(),
         0,
         seed -> {
           Scenario drawn = ScenarioGenerator.scenario(seed);
@@ -78,7 +78,7 @@
   }
 
   /** A rejected call is taken for a list in which nothing has changed. */
-  private static Mutation takesRejectionForEmptyList() {
+  private static Mutation treatsRejectionAsEmptyList() {
     String emptyList = "{\"seq\":0,\"whole\":false,\"hosts\":[]}\n";
     Buffer emptyResponse =
         Buffer.buffer(
@@ -108,7 +108,7 @@
     assertDetected(
         RULE,
         KIND,
-        takesRejectionForEmptyList(),
+        treatsRejectionAsEmptyList(),
         1,
         seed ->
             Scenario.parse(
@@ -124,7 +124,7 @@
     assertDetected(
         RULE,
         KIND,
-        takesRejectionForEmptyList(),
+        treatsRejectionAsEmptyList(),
         1,
         seed ->
             Scenario.parse(
