--- a/src/main/java/pathgw/simulation/invariant/ClientResponse.java
+++ b/src/main/java/pathgw/simulation/invariant/ClientResponse.java
@@ -1,9 +1,9 @@
 package pathgw.simulation.invariant;
 
 /**
- * A response as a client read it.
+ * A response as a client received it.
  *
- * @param line the response line, with the value behind it after a blank if there is one
+ * @param line the response line; a value follows it after a space
  */
 record ClientResponse(String line) {
   private static final String VALUE = "VA";
@@ -13,18 +13,18 @@
     return new ClientResponse(line);
   }
 
-  /** The response's code, such as {@code VA} or {@code SERVER_ERROR}. */
+  /** Returns the response's code, such as {@code VA} or {@code SERVER_ERROR}. */
   String code() {
     int end = line.indexOf(' ');
     return end < 0 ? line : line.substring(0, end);
   }
 
-  /** Whether it carries a value or the receipt of a write. */
+  /** Whether the response carries a value or the receipt of a write. */
   boolean isServed() {
     return code().equals(VALUE) || code().equals(STORED);
   }
 
-  /** The value or the receipt of a response that serves a request. */
+  /** Returns the value or the receipt; only valid if {@link #isServed()}. */
   String payload() {
     String[] words = line.split(" ");
     return code().equals(VALUE) ? words[words.length - 1] : words[2].substring(1);
@@ -38,7 +38,7 @@
     return line.startsWith("SERVER_ERROR busy");
   }
 
-  /** The line without the figure at its end, such as the pause of a Retry-After. */
+  /** Returns the line without a trailing number, such as the delay of a Retry-After. */
   String withoutTrailingNumber() {
     return line.replaceFirst(" \\d+$", "");
   }
--- a/src/main/java/pathgw/simulation/invariant/EffectInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/EffectInvariants.java
@@ -7,10 +7,10 @@
 import pathgw.simulation.invariant.RequestRecord.AttemptRecord;
 
 /**
- * Rule 2: no request takes effect more often than its class allows.
+ * Rule 2: a request takes effect at most as often as its request class allows.
  *
- * <p>What a proxy can know counts, not what is true: an attempt whose last byte was written may
- * have run, unless its target said that it did not.
+ * <p>The check uses what a proxy can know, not what really happened: an attempt whose last byte was
+ * written may have run, unless its target reported that it did not.
  */
 final class EffectInvariants {
   private static final int RULE = 2;
@@ -21,7 +21,7 @@
     this.run = run;
   }
 
-  /** Checks an attempt against all earlier ones of its request that may have run. */
+  /** Checks an attempt against all earlier attempts of its request that may have run. */
   void attemptSent(RequestRecord request, String target, long startedAtNanos) {
     Effect effect = request.clientAttempt.requestClass().effect();
     for (AttemptRecord earlier : request.attempts) {
@@ -56,7 +56,7 @@
     };
   }
 
-  /** A target has taken on a request. */
+  /** Records that a target accepted a request, and checks that a write is not applied twice. */
   void recordAcceptance(String target, Request command, boolean deduplicated) {
     RequestRecord request = run.request(command.id());
     if (request == null || !command.write() || deduplicated) {
@@ -66,8 +66,8 @@
     if (request.appliedWrites == 1) {
       return;
     }
-    // A node that stalled may run what it had received after the key of a permitted retry was
-    // forgotten. No proxy can know that, so it is counted and allowed.
+    // A stalled node may run a request after its idempotency key has expired elsewhere and a
+    // permitted retry has run. No proxy can know that, so it is counted but is no violation.
     if (request.clientAttempt.requestClass().effect() == Effect.IDEMPOTENCY_KEYED) {
       run.counters.count("idempotency-keyed request ran twice, each attempt permitted");
     } else {
--- a/src/main/java/pathgw/simulation/invariant/EndpointInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/EndpointInvariants.java
@@ -10,17 +10,18 @@
 import pathgw.fake.Request;
 
 /**
- * Rule 3: a proxy sends nothing new to a node once it was notified that the node drains or is gone.
+ * Rule 3: a proxy sends no new request to a node after it was notified that the node is draining or
+ * gone.
  *
- * <p>Not the true state of the node counts but what the proxy was notified of, so this class keeps
- * one table of notified states for each proxy.
+ * <p>The check uses the states that a proxy was notified of, not the real state of a node. This
+ * class therefore keeps one table of notified states per proxy.
  */
 final class EndpointInvariants {
   private static final int RULE = 3;
   private static final String READY = "ready";
   private static final String GONE = "gone";
 
-  /** The state of a node that a proxy was last notified of. */
+  /** The state of a node that a proxy was last notified of, and since when that state holds. */
   private record NotifiedState(String health, long version, long sinceNanos) {
     boolean isReady() {
       return health.equals(READY);
@@ -37,7 +38,7 @@
     }
   }
 
-  /** A new process of a proxy knows what its configuration says and nothing else. */
+  /** Resets a proxy's table: a new process knows only the states in its configuration. */
   void proxyStarted(int proxy, Map<String, String> healthByHost, long version) {
     Map<String, NotifiedState> states = notifiedStates.get(proxy);
     states.clear();
@@ -45,7 +46,10 @@
         (host, health) -> states.put(host, new NotifiedState(health, version, run.nowNanos())));
   }
 
-  /** See {@link pathgw.fake.BackendObserver#told}. */
+  /**
+   * Records one entry of the endpoint list that was sent to a proxy; see {@link
+   * pathgw.fake.BackendObserver#endpointNotified}.
+   */
   void notified(String proxy, String host, String health, long version) {
     Map<String, NotifiedState> states = notifiedStates.get(RunContext.proxyNumber(proxy));
     if (host.isEmpty()) {
@@ -64,7 +68,7 @@
         () -> proxy + " notified: " + host + " is " + health + ", list version " + version);
   }
 
-  /** A complete list has ended: a host that it did not name is gone. */
+  /** Marks all hosts as gone that a complete list did not contain. */
   private void markUnlistedGone(Map<String, NotifiedState> states, long version) {
     states.replaceAll(
         (host, state) ->
@@ -73,7 +77,10 @@
                 : state);
   }
 
-  /** A proxy had long enough to learn this, so it counts as notified whether it was or not. */
+  /**
+   * Treats a proxy as notified of a state because it had enough time to learn it, whether or not it
+   * did.
+   */
   void assumeNotified(int proxy, String host, String health, long version) {
     NotifiedState before = notifiedStates.get(proxy).get(host);
     if (before != null && before.version < version && before.isReady()) {
@@ -81,12 +88,16 @@
     }
   }
 
-  /** Whether the proxy was ever notified of this host since it was started. */
+  /** Whether the proxy's current process was ever notified of this host. */
   boolean hasBeenNotified(String proxy, String host) {
     return notifiedStates.get(RunContext.proxyNumber(proxy)).containsKey(host);
   }
 
-  /** Checks an attempt whose first byte was written at {@code startedAtNanos}. */
+  /**
+   * Checks an attempt.
+   *
+   * @param startedAtNanos when its first byte was written
+   */
   void attemptSent(int proxy, String target, Request request, long startedAtNanos) {
     NotifiedState state = notifiedStates.get(proxy).get(target);
     if (state == null || state.isReady()) {
--- a/src/main/java/pathgw/simulation/invariant/InvariantLimits.java
+++ b/src/main/java/pathgw/simulation/invariant/InvariantLimits.java
@@ -1,15 +1,16 @@
 package pathgw.simulation.invariant;
 
 /**
- * The bounds that the rules name, as the settings of the run have them.
+ * The limits that the invariants check, taken from the settings of the run.
  *
- * @param responseSlackNanos how long after a deadline a response or an attempt may still come
- * @param drainGraceNanos how long after a notification a draining node may get new requests
- * @param maxAttempts attempts of one request
- * @param dedupScope which nodes share their memory of idempotency keys: {@code all}, {@code zone}
- *     or {@code cell}
+ * @param responseSlackNanos how long after its deadline a request may still get a response or start
+ *     an attempt
+ * @param drainGraceNanos how long after the notification a draining node may still get new requests
+ * @param maxAttempts the most attempts of one request
+ * @param dedupScope which nodes share remembered idempotency keys: {@code all}, {@code zone} or
+ *     {@code cell}
  * @param dedupWindowNanos how long an idempotency key is remembered
- * @param maxDescriptors file descriptors of a proxy
+ * @param maxDescriptors the file descriptor limit of a proxy
  */
 public record InvariantLimits(
     long responseSlackNanos,
--- a/src/main/java/pathgw/simulation/invariant/OverloadInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/OverloadInvariants.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import pathgw.fake.BackendObserver.Arrival;
 
-/** Rule 4: proxies overload neither a node that warms up nor the origin behind cold nodes. */
+/** Rule 4: proxies overload neither a node that is warming up nor the origin behind cold nodes. */
 final class OverloadInvariants {
   private static final int RULE = 4;
   private static final int PERCENT = 100;
@@ -17,16 +17,19 @@
   }
 
   /**
-   * A node that warms up took a request.
+   * Records the load of a node that is warming up.
    *
-   * @param loadShare the part of the load that overloads it, 1 for all of it
+   * @param loadShare its recent load as a share of the load at which it crashes
    */
   void coldNodeLoaded(double loadShare) {
     run.counters.maximum(
         "rule 4, percent of what overloads a cold node", (long) (loadShare * PERCENT));
   }
 
-  /** A node that warms up failed; proxies that knew it are to blame for two thirds or more. */
+  /**
+   * A node crashed while it was warming up. This violates the rule if at least two thirds of its
+   * requests came from proxies that had been notified of the node.
+   */
   void coldNodeOverloaded(String node, List<Arrival> arrivals) {
     long fromNotifiedProxies =
         arrivals.stream()
@@ -45,7 +48,10 @@
     }
   }
 
-  /** The origin failed; cold nodes are to blame if they missed half of the requests or more. */
+  /**
+   * The origin failed. This violates the rule if at least half of its requests had missed at cold
+   * nodes.
+   */
   void originOverloaded(List<Arrival> arrivals) {
     long missedAtColdNodes =
         arrivals.stream()
--- a/src/main/java/pathgw/simulation/invariant/RequestInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/RequestInvariants.java
@@ -8,22 +8,30 @@
 import pathgw.fake.Request;
 
 /**
- * Rule 1: each request gets exactly one response, its own and in time, and no work is begun for a
- * request that has ended.
+ * Rule 1: each request gets exactly one response, which belongs to it and comes in time, and no
+ * work starts for a request that has ended.
  */
 final class RequestInvariants {
   private static final int RULE = 1;
 
-  /** No attempt starts later than this after its client has left, whatever stalled the proxy. */
+  /**
+   * The latest start of an attempt after its client has left; a stall of the proxy does not extend
+   * it.
+   */
   private static final long CLIENT_LEFT_ALLOWANCE_NANOS = 100_000_000;
 
-  /** How much more than the time left to its client an attempt may announce to its target. */
+  /** How far the remaining time that an attempt announces to its target may exceed the client's. */
   private static final long ANNOUNCED_TIME_ALLOWANCE_NANOS = 150_000_000;
 
-  /** A client that sends an invalid command gets an error line or the end within this. */
+  /**
+   * Within this time a client that sends an invalid command must get an error line or be
+   * disconnected.
+   */
   private static final long MAX_INVALID_CLIENT_WAIT_NANOS = 3_000_000_000L;
 
-  /** Stands for the time a client waited that got neither. */
+  /**
+   * The assumed waiting time of an invalid client that got neither an error line nor a disconnect.
+   */
   private static final long UNANSWERED_WAIT_NANOS = 3_600_000_000L;
 
   private static final char REMAINING_MILLIS_LABEL = 'd';
@@ -38,7 +46,11 @@
     run.violations.report(RULE, kind, text);
   }
 
-  /** Checks an attempt whose first byte was written at {@code startedAtNanos}. */
+  /**
+   * Checks an attempt.
+   *
+   * @param startedAtNanos when its first byte was written
+   */
   void attemptSent(
       int proxy, RequestRecord request, String target, Request command, long startedAtNanos) {
     checkNotEnded(proxy, request, target, startedAtNanos);
@@ -76,7 +88,9 @@
     }
   }
 
-  /** The time that the attempt's labels announce must be what is left to the client. */
+  /**
+   * Checks the remaining time in the attempt's labels against the time until the client's deadline.
+   */
   private void checkAnnouncedTime(
       RequestRecord request, String target, Request command, long startedAtNanos) {
     String announcedMs = command.label(REMAINING_MILLIS_LABEL);
@@ -94,13 +108,13 @@
     }
   }
 
-  /** A client got a response that belongs to none of its requests. */
+  /** Reports a response that a client received without an open request. */
   void unexpectedResponse(int proxy, String response) {
     reportViolation(
         "two-answers", "p" + proxy + " sends a response that nobody asked for: " + response);
   }
 
-  /** Checks when a response came. */
+  /** Checks that a response came before the deadline plus the allowances. */
   void responded(int proxy, RequestRecord request) {
     long now = run.nowNanos();
     long lateNanos =
@@ -117,7 +131,7 @@
     }
   }
 
-  /** Checks that a value or a receipt was made for this very request. */
+  /** Checks that the value or receipt in a response was created for this request. */
   void served(RequestRecord request, ClientResponse response) {
     boolean containsRequestId = response.line().contains(" O" + request.id());
     if (!containsRequestId || !request.createdResponses.contains(response.payload())) {
@@ -126,7 +140,7 @@
     }
   }
 
-  /** Checks a response that serves nothing. */
+  /** Checks a rejection or an error response. */
   void notServed(int proxy, RequestRecord request, ClientResponse response) {
     if (response.isClientError()) {
       reportViolation(
@@ -147,14 +161,15 @@
   }
 
   /**
-   * A connection ended before the response was complete.
+   * Checks a connection that ended before the response was complete.
    *
-   * @param commandRead whether the proxy had read the command, as far as that can be known
+   * @param commandRead whether the proxy had read the command, as far as that is known
    */
   void connectionLost(int proxy, RequestRecord request, boolean commandRead) {
     long sentAt = request.clientAttempt.sentAt().toNanos();
     boolean proxyDied = run.cluster.isDead(proxy) || run.cluster.startedAtNanos(proxy) > sentAt;
-    // A close that crosses a command loses nothing; one long after the command had arrived does.
+    // A close that crosses the command on the network loses no accepted request. If the command had
+    // arrived well before the close, the request is lost.
     boolean crossed = !commandRead && run.nowNanos() - sentAt < MAX_TRANSIT_NANOS;
     boolean unserved = request.attempts.isEmpty() && request.clientAttempt.firstOnConnection();
     run.counters.count(lossCounterName(proxyDied, crossed, unserved));
@@ -175,7 +190,7 @@
     return unserved ? "connection closed unserved" : "request lost";
   }
 
-  /** A client gave up long after the deadline of its request. */
+  /** Checks a request whose client gave up waiting, long after the deadline. */
   void neverAnswered(int proxy, RequestRecord request) {
     long sentAt = request.clientAttempt.sentAt().toNanos();
     boolean proxyDied = run.cluster.isDead(proxy) || run.cluster.startedAtNanos(proxy) > sentAt;
@@ -187,9 +202,9 @@
   }
 
   /**
-   * A client that sent an invalid command has ended.
+   * Checks a client that sent an invalid command, after it has ended.
    *
-   * @param waited until an error line or the end came; null if neither did
+   * @param waited the time until an error line or the disconnect came; null if neither did
    */
   void invalidClientEnded(int proxy, String behavior, Duration waited, String response) {
     if (ClientResponse.of(response).isServed()) {
@@ -208,7 +223,7 @@
     }
   }
 
-  /** A proxy has not ended its graceful shutdown within the limit. */
+  /** Reports that a proxy has not completed its graceful shutdown within the limit. */
   void stopTimedOut(int proxy, long limitMs) {
     reportViolation("stop", "p" + proxy + " has not stopped in " + limitMs + " ms");
   }
--- a/src/main/java/pathgw/simulation/invariant/RequestRecord.java
+++ b/src/main/java/pathgw/simulation/invariant/RequestRecord.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import pathgw.fake.client.ClientAttempt;
 
-/** Everything that is known of one request, from its arrival at a proxy to its end. */
+/** All that is known of one request, from its arrival at a proxy to its end. */
 final class RequestRecord {
   /** One attempt that a proxy wrote completely to a cache node or the origin. */
   static final class AttemptRecord {
     final String target;
     final long sentAtNanos;
 
-    /** The target said that it did not run this attempt. */
+    /** Whether the target reported that it did not run this attempt. */
     boolean neverRan;
 
     AttemptRecord(String target, long sentAtNanos) {
@@ -20,7 +20,7 @@
     }
   }
 
-  /** Far in the future, yet spans can be added to it without overflow. */
+  /** Half of the largest value, so that adding a duration does not overflow. */
   private static final long NOT_ENDED = Long.MAX_VALUE / 2;
 
   private static final long NOT_DECIDED = -1;
@@ -28,10 +28,10 @@
   final ClientAttempt clientAttempt;
   final List<AttemptRecord> attempts = new ArrayList<>(2);
 
-  /** Values and receipts that were made for this request and may be served for it. */
+  /** Values and receipts that were created for this request and may be sent as its response. */
   final List<String> createdResponses = new ArrayList<>(2);
 
-  /** When the client had its response, left, or lost its connection. */
+  /** When the client got its response, left, or lost its connection. */
   long endedAtNanos = NOT_ENDED;
 
   int appliedWrites;
@@ -51,7 +51,9 @@
     return clientAttempt.deadline().toNanos();
   }
 
-  /** The proxy has decided to reject or fail the request; only the first decision counts. */
+  /**
+   * Records that the proxy decided to reject or fail the request; only the first decision counts.
+   */
   void markDecided(long atNanos) {
     if (!isDecided()) {
       decidedAtNanos = atNanos;
@@ -66,7 +68,9 @@
     return decidedAtNanos;
   }
 
-  /** The target has refused an attempt unseen, or found nothing: the oldest one still open. */
+  /**
+   * Marks the oldest open attempt at a target as not run: the target rejected it, or a read missed.
+   */
   void markNeverRan(String target) {
     for (AttemptRecord attempt : attempts) {
       if (attempt.target.equals(target) && !attempt.neverRan) {
--- a/src/main/java/pathgw/simulation/invariant/ResourceInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/ResourceInvariants.java
@@ -4,21 +4,23 @@
 import pathgw.server.ResourceUsage;
 
 /**
- * Rule 5, what the project requires besides: bounded resources, none leaked, no uncaught exception,
- * proxies that start, and service that recovers after faults.
+ * Rule 5, the project's own requirements: resources stay within their limits and none leaks, no
+ * exception is uncaught, proxies start, and service recovers after faults.
  */
 final class ResourceInvariants {
   private static final int RULE = 5;
 
-  /** Descriptors for files, the selector, discovery, gossip and the listener. */
+  /** Descriptors allowed for files, the selector, discovery, gossip and the listener. */
   private static final int OTHER_DESCRIPTORS = 40;
 
   private static final int MAX_REQUESTS_PER_CLIENT = 16;
 
-  /** Service has recovered by then, as measured over the last three seconds. */
+  /** Service must have recovered if no fault was active for this long before the last request. */
   private static final long RECOVERY_TIME_MS = 9000;
 
-  /** With less spare capacity than this, service need not recover. */
+  /**
+   * Service need not recover if the remaining nodes can serve less than this multiple of the load.
+   */
   private static final double MIN_CAPACITY_FACTOR = 2;
 
   private static final double MIN_RECOVERED_SERVICE_RATE = 0.8;
@@ -30,7 +32,7 @@
     this.run = run;
   }
 
-  /** Checks the bounds of a proxy after each of its steps. */
+  /** Checks the resource limits of a proxy; called after each of its events. */
   void checkBounds(int proxy, ResourceUsage usage) {
     if (usage.clients() > usage.maxClients()
         || usage.nodeConnections() > usage.maxNodeConnections()
@@ -52,7 +54,7 @@
     }
   }
 
-  /** Checks at the end of a run, when no client is left, that a proxy holds nothing. */
+  /** Checks that a proxy holds no resources at the end of a run, when no client is left. */
   void checkNothingHeld(int proxy, ResourceUsage usage) {
     if (usage.requests() > 0 || usage.clients() > 0 || usage.nodeConnections() > 0) {
       run.violations.report(RULE, "leak", "p" + proxy + " still holds " + usage);
--- a/src/main/java/pathgw/simulation/invariant/RunContext.java
+++ b/src/main/java/pathgw/simulation/invariant/RunContext.java
@@ -5,12 +5,19 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 
-/** What all rules of one run share: the clock, the world, the requests and where results go. */
+/**
+ * State that all invariants of one run share: the clock, the cluster, the requests, and the
+ * violations and counters.
+ */
 final class RunContext {
-  /** How much later than in the simulator each limit ends, for a proxy on sockets. */
+  /**
+   * Added to each time limit because a proxy on real sockets is slower than one in the simulation.
+   */
   static final long SOCKET_ALLOWANCE_NANOS = 50_000_000;
 
-  /** How long a response may take to its client, and a client's leaving to the proxy. */
+  /**
+   * The longest transit time of a response to its client, or of a client's disconnect to the proxy.
+   */
   static final long MAX_TRANSIT_NANOS = 10_000_000;
 
   static final int NANOS_PER_MILLI = 1_000_000;
@@ -36,7 +43,7 @@
     return clock.getAsLong();
   }
 
-  /** The record of a request, or null if no client sent it. */
+  /** Returns the record of a request, or null if no client sent it. */
   RequestRecord request(String id) {
     return requests.get(id);
   }
@@ -45,13 +52,13 @@
     requests.put(request.id(), request);
   }
 
-  /** Adds an event to the digest and its text to the trace. */
+  /** Adds an event to the digest and a line to the trace. */
   void event(long event, Supplier<String> text) {
     trace.addToDigest(nowNanos(), event);
     trace.addLine(nowNanos(), text);
   }
 
-  /** The number in a proxy's name, such as 7 in {@code p7}. */
+  /** Returns the number in a proxy's name, such as 7 for {@code p7}. */
   static int proxyNumber(String proxy) {
     return Integer.parseInt(proxy.substring(1));
   }
--- a/src/main/java/pathgw/simulation/invariant/RunCounters.java
+++ b/src/main/java/pathgw/simulation/invariant/RunCounters.java
@@ -5,14 +5,14 @@
 import java.util.TreeMap;
 import java.util.function.LongSupplier;
 
-/** Counts how often each kind of event came in one run; {@code simulate --counts} prints them. */
+/** Counts the events of one run by kind; {@code simulate --counts} prints the counters. */
 public final class RunCounters {
-  /** Marks the name of a maximum; every other counter is a sum. */
+  /** Ends the name of each counter that holds a maximum; all other counters are sums. */
   private static final String MAXIMUM_SUFFIX = ", max";
 
   private static final long NANOS_PER_SECOND = 1_000_000_000;
 
-  /** How often something came in the second in which it last came. */
+  /** The number of occurrences within the current second. */
   private static final class SecondCount {
     private long second;
     private long count;
@@ -40,7 +40,7 @@
     counts.merge(name + MAXIMUM_SUFFIX, value, Math::max);
   }
 
-  /** Counts what each proxy does alone over all of them: the sum, and the maximum in one second. */
+  /** Counts events of all proxies together: their sum, and their maximum within one second. */
   void countFleetWide(String name) {
     count("fleet " + name);
     long second = clock.getAsLong() / NANOS_PER_SECOND;
@@ -48,12 +48,14 @@
     maximum("fleet " + name + " in a second", inSecond);
   }
 
-  /** The counters by name, in the order of their names. */
+  /** Returns the counters, sorted by name. */
   public Map<String, Long> asMap() {
     return counts;
   }
 
-  /** Adds the counters of one run to those of many: sums are added, maxima compared. */
+  /**
+   * Adds the counters of one run to the totals: sums are added, and of maxima the larger is kept.
+   */
   public static void mergeInto(Map<String, Long> total, Map<String, Long> run) {
     run.forEach(
         (name, value) ->
--- a/src/main/java/pathgw/simulation/invariant/ServiceRate.java
+++ b/src/main/java/pathgw/simulation/invariant/ServiceRate.java
@@ -2,7 +2,7 @@
 
 import pathgw.fake.client.ClientAttempt;
 
-/** The share of the clients' first attempts that were served, from one moment of the run on. */
+/** Measures the share of the clients' first attempts that are served, from a given time on. */
 final class ServiceRate {
   private long measuredFromNanos = Long.MAX_VALUE;
   private long started;
@@ -24,7 +24,7 @@
     }
   }
 
-  /** Between 0 and 1; 1 if no request was started. */
+  /** Returns the share, between 0 and 1; 1 if no request was started. */
   double rate() {
     return started == 0 ? 1 : (double) served / started;
   }
--- a/src/main/java/pathgw/simulation/invariant/Trace.java
+++ b/src/main/java/pathgw/simulation/invariant/Trace.java
@@ -5,7 +5,7 @@
 import java.util.function.Supplier;
 
 /**
- * The record of one run: a digest of every event, and its text if somebody reads it.
+ * The record of one run: a digest of all events, and optionally their text.
  *
  * <p>Two runs with the same digest had the same events in the same order.
  */
@@ -21,18 +21,23 @@
   /**
    * Creates an empty trace.
    *
-   * @param lineConsumer receives each line; null if only the digest is wanted
+   * @param lineConsumer receives each line; null if only the digest is needed
    */
   public Trace(Consumer<String> lineConsumer) {
     this.lineConsumer = lineConsumer;
   }
 
-  /** Adds one event to the digest. */
+  /**
+   * Adds one event to the digest.
+   *
+   * @param atNanos virtual time of the event
+   * @param event a value that identifies the event
+   */
   public void addToDigest(long atNanos, long event) {
     digest = Long.rotateLeft((digest ^ atNanos) * DIGEST_MULTIPLIER, DIGEST_ROTATION) ^ event;
   }
 
-  /** Adds one line of text, which is built only if somebody reads it. */
+  /** Adds one line of text; the text is only built if there is a consumer. */
   public void addLine(long atNanos, Supplier<String> text) {
     if (lineConsumer != null) {
       lineConsumer.accept(
@@ -40,7 +45,7 @@
     }
   }
 
-  /** The digest of all events so far. */
+  /** Returns the digest of all events so far. */
   public long digest() {
     return digest;
   }
--- a/src/main/java/pathgw/simulation/invariant/Violation.java
+++ b/src/main/java/pathgw/simulation/invariant/Violation.java
@@ -1,18 +1,17 @@
 package pathgw.simulation.invariant;
 
 /**
- * A rule that was violated.
+ * A violation of a rule.
  *
- * @param rule 1 to 4 as the deployment numbers them; 5 for what the project requires of itself
- *     besides
- * @param kind one word for the way in which it was violated; kept scenarios and tests name it
+ * @param rule 1 to 4 as numbered by the deployment's rules; 5 for the project's own requirements
+ * @param kind a word for the way in which the rule was violated, used by kept scenarios and tests
  * @param atNanos virtual time
- * @param text what happened, for a person
+ * @param text a description for a human reader
  */
 public record Violation(int rule, String kind, long atNanos, String text) {
   private static final int NANOS_PER_MILLI = 1_000_000;
 
-  /** Whether another run violated the same rule in the same way, whenever and with whatever. */
+  /** Whether the other violation has the same rule and kind, whatever its time and text. */
   public boolean isSameKindAs(Violation other) {
     return other != null && rule == other.rule && kind.equals(other.kind);
   }
--- a/src/main/java/pathgw/simulation/invariant/ViolationLog.java
+++ b/src/main/java/pathgw/simulation/invariant/ViolationLog.java
@@ -2,7 +2,7 @@
 
 import java.util.function.LongSupplier;
 
-/** Keeps the first violation of a run; later ones are only traced, since the run ends with it. */
+/** Keeps the first violation of a run, which ends the run; later ones are only traced. */
 final class ViolationLog {
   private final LongSupplier clock;
   private final Trace trace;
@@ -21,7 +21,7 @@
     }
   }
 
-  /** The first violation, or null. */
+  /** Returns the first violation, or null if there was none. */
   Violation first() {
     return first;
   }
