--- a/src/main/java/pathgw/simulation/invariant/EffectInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/EffectInvariants.java
@@ -66,8 +66,8 @@
     if (request.appliedWrites == 1) {
       return;
     }
-    // A stalled node may run a request after its idempotency key has expired elsewhere and a
-    // permitted retry has run. No proxy can know that, so it is counted but is no violation.
+    // A stalled node may run an earlier attempt after the remembered key of a permitted retry has
+    // expired. No proxy can know that, so it is counted but is no violation.
     if (request.clientAttempt.requestClass().effect() == Effect.IDEMPOTENCY_KEYED) {
       run.counters.count("idempotency-keyed request ran twice, each attempt permitted");
     } else {
--- a/src/main/java/pathgw/simulation/invariant/RequestInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/RequestInvariants.java
@@ -14,10 +14,7 @@
 final class RequestInvariants {
   private static final int RULE = 1;
 
-  /**
-   * The latest start of an attempt after its client has left; a stall of the proxy does not extend
-   * it.
-   */
+  /** How long after its client has left an attempt may still start, even if the proxy stalled. */
   private static final long CLIENT_LEFT_ALLOWANCE_NANOS = 100_000_000;
 
   /** How far the remaining time that an attempt announces to its target may exceed the client's. */
--- a/src/main/java/pathgw/simulation/invariant/RequestRecord.java
+++ b/src/main/java/pathgw/simulation/invariant/RequestRecord.java
@@ -20,7 +20,7 @@
     }
   }
 
-  /** Half of the largest value, so that adding a duration does not overflow. */
+  /** The end time of a request that has not ended: adding a duration to it does not overflow. */
   private static final long NOT_ENDED = Long.MAX_VALUE / 2;
 
   private static final long NOT_DECIDED = -1;
--- a/src/main/java/pathgw/simulation/scenario/Fault.java
+++ b/src/main/java/pathgw/simulation/scenario/Fault.java
@@ -7,112 +7,122 @@
 /**
  * One fault of a run.
  *
- * @param atMs when it begins, in milliseconds since the run began
- * @param activeMs how long it lasts in milliseconds; 0 for good
- * @param kind what goes wrong
- * @param target the number of a node or proxy, modulo how many there are; -1 if the kind has none
- * @param magnitude how strong it is, in the measure of its kind
+ * @param atMs when the fault begins, in milliseconds since the run began
+ * @param activeMs how long the fault lasts, in milliseconds; 0 if it is permanent
+ * @param kind what fails
+ * @param target the number of a node or proxy, taken modulo their count; {@link #NO_TARGET} if the
+ *     kind has none
+ * @param magnitude the strength of the fault: a share, a factor, milliseconds or a zone number,
+ *     depending on the kind; 0 if the kind has none
  */
 public record Fault(long atMs, long activeMs, Kind kind, int target, double magnitude)
     implements Comparable<Fault> {
-  /** The target of faults that concern no single node or proxy. */
+  /** The target of faults that do not affect a single node or proxy. */
   public static final int NO_TARGET = -1;
 
-  /** What a kind of fault concerns. */
+  /** The part of the cluster that a kind of fault affects. */
   public enum Scope {
-    /** One cache node. */
+    /** A single cache node. */
     NODE,
-    /** One proxy. */
+    /** A single proxy. */
     PROXY,
-    /** Everything else: discovery, origin, gossip, clients, or many processes at once. */
+    /** Everything else: discovery, the origin, gossip, the clients, or many processes at once. */
     CLUSTER
   }
 
-  /** Every kind of fault; the names, in lower case, are the words of the scenario text. */
+  /**
+   * The kinds of faults. Their names, in lower case and with hyphens, are the words of scenario
+   * files.
+   */
   public enum Kind {
-    /** The process ends; when it starts again, it is cold. */
+    /** The node's process ends; if it starts again, its cache is cold. */
     DIES(Scope.NODE, false),
-    /** As before, but it comes back at another address. */
+    /** Like {@link #DIES}, but the node restarts at another address. */
     MOVES(Scope.NODE, false),
-    /** It stalls: accepts everything, answers nothing, and continues later. */
+    /** The node stalls: it accepts connections and bytes, but answers only after the stall. */
     FREEZES(Scope.NODE, false),
-    /** The machine is cut off: silence, then resets. */
+    /** The node's machine is cut off from the network; on return its connections are reset. */
     VANISHES(Scope.NODE, false),
-    /** Work takes this many times as long. */
+    /** Each request takes this many times as long at the node. */
     SLOW(Scope.NODE, true),
-    /** A draining node: listed as such, then it refuses new requests, then it ends. */
+    /** The node is listed as draining, then rejects new requests, then ends. */
     DRAINS(Scope.NODE, false),
-    /** All its copies are lost. */
+    /** The node loses all cached values. */
     FLUSHED(Scope.NODE, false),
-    /** Connections to it come up as much as this many milliseconds late. */
+    /** Connections to the node are established up to this many milliseconds late. */
     CONNECTS_LATE(Scope.NODE, true),
-    /** This share of writes to it is cut off before the last byte. */
+    /**
+     * The connection is reset during this share of the writes to the node, before the last byte.
+     */
     CUTS(Scope.NODE, true),
-    /** Connections are reset once the command has arrived. */
+    /** The node resets the connection after the command arrived, for this share of requests. */
     RESETS(Scope.NODE, true),
-    /** Connections are closed under a command, which does not run. */
+    /** The node closes the connection without running the command, for this share of requests. */
     CLOSES(Scope.NODE, true),
-    /** Responses are invalid. */
+    /** This share of the node's responses is invalid. */
     SPOILS(Scope.NODE, true),
-    /** Responses have more bytes behind them. */
+    /** Unexpected bytes follow this share of the node's responses. */
     BABBLES(Scope.NODE, true),
-    /** Errors after the request ran. */
+    /** The node runs the request but responds with an error, for this share of requests. */
     FAILS(Scope.NODE, true),
-    /** Requests are rejected. */
+    /** The node rejects this share of requests. */
     BUSY(Scope.NODE, true),
-    /** A new cold node is added. */
+    /** A new node with a cold cache is added. */
     GROWS(Scope.CLUSTER, false),
     /** This share of the nodes is replaced by new ones, one after another. */
     DEPLOY(Scope.CLUSTER, true),
-    /** Work at the origin takes this many times as long. */
+    /** Each request takes this many times as long at the origin. */
     ORIGIN_SLOW(Scope.CLUSTER, true),
-    /** This share of the origin's requests ends in an error. */
+    /** The origin responds to this share of requests with an error. */
     ORIGIN_FAILS(Scope.CLUSTER, true),
     /** This share of the origin's responses is invalid. */
     ORIGIN_SPOILS(Scope.CLUSTER, true),
-    /** This share of the origin's connections is reset under a request. */
+    /** The origin resets the connection during this share of requests. */
     ORIGIN_RESETS(Scope.CLUSTER, true),
-    /** Watch events come as much as this many milliseconds late. */
+    /** Responses and watch events of discovery are delayed by up to this many milliseconds. */
     LIST_LATE(Scope.CLUSTER, true),
-    /** Discovery is down: watches end, calls fail. */
+    /** Discovery is down: watches end and calls fail. */
     LIST_DOWN(Scope.CLUSTER, false),
-    /** This share of the discovery calls is rejected. */
+    /** Discovery rejects or resets this share of calls. */
     LIST_REFUSES(Scope.CLUSTER, true),
-    /** All watches end once. */
+    /** All connections to discovery are closed once, which ends all watches. */
     LIST_ENDS(Scope.CLUSTER, false),
     /** This share of the gossip datagrams is lost. */
     PEERS_LOSE(Scope.CLUSTER, true),
-    /** Gossip datagrams come as much as this many milliseconds late. */
+    /** Gossip datagrams are delayed by up to this many milliseconds. */
     PEERS_LATE(Scope.CLUSTER, true),
-    /** Killed, and started again with the last endpoint list that it had. */
+    /** The proxy is killed and restarted with the last endpoint list that it had received. */
     KILLED(Scope.PROXY, false),
-    /** Graceful shutdown (SIGTERM), then started again. */
+    /** The proxy shuts down gracefully, as after SIGTERM, and is then restarted. */
     STOPPED(Scope.PROXY, false),
-    /** Its event loop stalls. */
+    /** The proxy's event loop stalls. */
     STANDS_STILL(Scope.PROXY, false),
-    /** SIGHUP to all proxies: discovery has moved to another address. */
+    /** Discovery moves to another address, and all proxies get a SIGHUP. */
     HANGUP(Scope.CLUSTER, false),
-    /** This many times as many requests. */
+    /** Clients send this many times as many requests. */
     BURST(Scope.CLUSTER, true),
-    /** This share of the requests is for one key. */
+    /** This share of the requests is for a single key. */
     HOT(Scope.CLUSTER, true),
-    /** One tenant sends this many times as much. */
+    /** One tenant sends this many times as many requests as any other tenant. */
     GREED(Scope.CLUSTER, true),
-    /** This share of the clients leaves before the response. */
+    /** This share of the clients disconnects before the response. */
     LEAVE(Scope.CLUSTER, true),
-    /** This share of the proxies is killed at once, and started again with its last list. */
+    /** This share of the proxies is killed at once and restarted with their last endpoint lists. */
     RESTART(Scope.CLUSTER, true),
-    /** All nodes of the zone of this number die at once and come back cold. */
+    /** All nodes in the zone with this number crash at once and restart with cold caches. */
     ZONE_LOST(Scope.CLUSTER, true),
-    /** The machines of the zone of this number are cut off. */
+    /** All machines in the zone with this number are cut off from the network. */
     ZONE_SILENT(Scope.CLUSTER, true),
-    /** This share of the open watches falls silent without an end. */
+    /** This share of the open watches stays open but no longer sends events. */
     LIST_SILENT(Scope.CLUSTER, true),
-    /** This share of the nodes is listed as draining within a second, and continues to serve. */
+    /** This share of the nodes is listed as draining within one second but continues to serve. */
     LIST_DRAINS(Scope.CLUSTER, true);
 
-    /** This many kinds, the first ones, concern any cluster; the others are for large fleets. */
-    @SuppressWarnings("EnumOrdinal") // The order of the constants is what is meant.
+    /**
+     * The number of kinds, from the first on, that are drawn for clusters of any size. The
+     * remaining kinds are for large fleets only.
+     */
+    @SuppressWarnings("EnumOrdinal") // The position of LEAVE is what is needed.
     public static final int GENERAL_KIND_COUNT = LEAVE.ordinal() + 1;
 
     private final Scope scope;
@@ -123,22 +133,24 @@
       this.magnitudeRequired = magnitudeRequired;
     }
 
-    /** What this kind concerns. */
+    /** Returns the part of the cluster that this kind affects. */
     public Scope scope() {
       return scope;
     }
 
-    /** Whether a fault of this kind says how strong it is. */
+    /** Whether faults of this kind have a magnitude. */
     public boolean requiresMagnitude() {
       return magnitudeRequired;
     }
 
-    /** The word of the scenario text. */
+    /** Returns the word for this kind in scenario files. */
     public String word() {
       return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** The word for the fault's target, such as {@code node}; null if it has none. */
+    /**
+     * Returns the word for the fault's target, such as {@code node}; null if there is no target.
+     */
     private String targetWord() {
       return scope == Scope.CLUSTER ? null : scope.name().toLowerCase(Locale.ROOT);
     }
@@ -158,12 +170,12 @@
           "at (?<at>\\d{1,7})ms(?: for (?<for>\\d{1,7})ms)? (?<kind>[a-z-]+)"
               + "(?: (?<scope>node|proxy) (?<target>\\d{1,4}))?(?: by (?<by>[0-9.]{1,12}))?");
 
-  /** Whether the fault is never mended. */
+  /** Whether the fault never ends. */
   public boolean isPermanent() {
     return activeMs == 0;
   }
 
-  /** The line of the scenario text. */
+  /** Returns the fault's line in a scenario file. */
   @Override
   public String toString() {
     String duration = isPermanent() ? "" : " for " + activeMs + "ms";
@@ -173,9 +185,9 @@
   }
 
   /**
-   * Reads a line of the form that {@link #toString()} gives.
+   * Parses a line in the form that {@link #toString()} returns.
    *
-   * @throws IllegalArgumentException if it has another form; the message says what is wrong
+   * @throws IllegalArgumentException if the line has another form; the message states the error
    */
   static Fault parse(String line) {
     Matcher matcher = LINE_PATTERN.matcher(line);
--- a/src/main/java/pathgw/simulation/scenario/Scenario.java
+++ b/src/main/java/pathgw/simulation/scenario/Scenario.java
@@ -3,27 +3,29 @@
 import java.util.List;
 
 /**
- * Everything that decides a run: the shape of the cluster, its load and its faults.
+ * All inputs of a run: the shape of the cluster, its load and its faults.
  *
- * @param seed decides all random draws of the run
- * @param durationMs how long clients send requests
- * @param proxies how many proxies there are
- * @param nodes how many cache nodes there are at first
- * @param readThrough whether cache nodes fetch from the origin what they lack
- * @param dedupScope which nodes share their memory of idempotency keys: {@code all}, {@code zone}
- *     or {@code cell}
- * @param dedupWindowMs how long an idempotency key is remembered
- * @param requestsPerSecond over all proxies
- * @param keys how many keys there are
- * @param zipfExponent how unequal the popularity of keys is
- * @param invalidClientsPerSecond clients that send an invalid command
- * @param warmUpRounds rounds of requests that a proxy sends through itself before it serves
- * @param capacityFactor how many times the steady load the nodes can serve
- * @param coldCrashMultiple a cold node fails at this many times the load that it can serve then
- * @param maxDescriptors file descriptors of a proxy
+ * @param seed determines all random draws of the run
+ * @param durationMs for how many milliseconds clients send requests
+ * @param proxies number of proxies
+ * @param nodes number of cache nodes at the start
+ * @param readThrough whether cache nodes fetch missing values from the origin themselves
+ * @param dedupScope which nodes share remembered idempotency keys: {@code all}, {@code zone} or
+ *     {@code cell}
+ * @param dedupWindowMs how many milliseconds an idempotency key is remembered
+ * @param requestsPerSecond the steady load, over all proxies
+ * @param keys number of distinct keys
+ * @param zipfExponent exponent of Zipf's law for the popularity of keys; 0 if all are alike
+ * @param invalidClientsPerSecond how many clients send an invalid command, per second
+ * @param warmUpRounds how many rounds of warm-up requests a proxy sends through itself before it
+ *     serves
+ * @param capacityFactor capacity of all nodes together, as a multiple of the steady load
+ * @param coldCrashMultiple a node that is warming up crashes at this multiple of the load that it
+ *     can serve at that time
+ * @param maxDescriptors the file descriptor limit of a proxy
  * @param idleClientShare the share of clients that send one request and then stay connected
- * @param fleet what only a large fleet makes felt
- * @param faults in the order of their times
+ * @param fleet settings that matter only in large fleets
+ * @param faults sorted by time
  */
 public record Scenario(
     long seed,
@@ -46,12 +48,13 @@
     List<Fault> faults) {
 
   /**
-   * What only a large fleet makes felt.
+   * Settings that matter only in large fleets.
    *
-   * @param zones over which the nodes are spread
-   * @param trafficSkew how unequal the proxies' traffic is: exponent of Zipf's law, 0 for all alike
-   * @param maxConnectionsPerNode connections that a node accepts
-   * @param discoveryCallsPerSecond that discovery serves one after another; 0 for any number
+   * @param zones number of zones over which the nodes are spread
+   * @param trafficSkew exponent of Zipf's law for the proxies' traffic; 0 if all get the same
+   * @param maxConnectionsPerNode how many connections a node accepts
+   * @param discoveryCallsPerSecond how many calls discovery serves per second, one after another; 0
+   *     for no limit
    */
   public record Fleet(
       int zones, double trafficSkew, int maxConnectionsPerNode, double discoveryCallsPerSecond) {
@@ -64,60 +67,65 @@
     }
   }
 
-  /** What a scenario's text has for its mode. */
+  /** The mode in which cache nodes fetch missing values from the origin themselves. */
   public static final String READ_THROUGH = "through";
 
-  /** The other mode: the proxy fetches from the origin what a node lacks. */
+  /** The mode in which proxies fetch missing values from the origin. */
   public static final String LOOK_ASIDE = "aside";
 
-  /** What a scenario's text need not say. */
+  /** The values that a scenario file may omit. */
   public static final Scenario DEFAULTS =
       new Scenario(
-          1,
-          20_000,
-          2,
-          6,
-          false,
-          "all",
-          400,
-          40,
-          100,
-          1,
-          0,
-          0,
-          3,
-          3,
-          1024,
-          0,
-          new Fleet(2, 0, 60, 0),
+          /* seed= */ 1,
+          /* durationMs= */ 20_000,
+          /* proxies= */ 2,
+          /* nodes= */ 6,
+          /* readThrough= */ false,
+          /* dedupScope= */ "all",
+          /* dedupWindowMs= */ 400,
+          /* requestsPerSecond= */ 40,
+          /* keys= */ 100,
+          /* zipfExponent= */ 1,
+          /* invalidClientsPerSecond= */ 0,
+          /* warmUpRounds= */ 0,
+          /* capacityFactor= */ 3,
+          /* coldCrashMultiple= */ 3,
+          /* maxDescriptors= */ 1024,
+          /* idleClientShare= */ 0,
+          new Fleet(
+              /* zones= */ 2,
+              /* trafficSkew= */ 0,
+              /* maxConnectionsPerNode= */ 60,
+              /* discoveryCallsPerSecond= */ 0),
           List.of());
 
   /**
-   * Reads a scenario's text.
+   * Parses the text of a scenario.
    *
-   * @throws pathgw.config.InvalidInputException if a line cannot be read; the message names it
+   * @throws pathgw.config.InvalidInputException if a line cannot be parsed; the message names the
+   *     line
    */
   public static Scenario parse(String text) {
     return ScenarioFormat.parse(text);
   }
 
-  /** The text that {@link #parse} reads. */
+  /** Returns the text that {@link #parse} reads. */
   @Override
   public String toString() {
     return ScenarioFormat.write(this);
   }
 
-  /** The same with other faults, which are sorted by time. */
+  /** Returns a copy with other faults, which are sorted by time. */
   public Scenario withFaults(List<Fault> faults) {
     return copy(readThrough, dedupScope, faults.stream().sorted().toList());
   }
 
-  /** The same in another mode, {@link #READ_THROUGH} or {@link #LOOK_ASIDE}. */
+  /** Returns a copy with another mode, {@link #READ_THROUGH} or {@link #LOOK_ASIDE}. */
   public Scenario withMode(String mode) {
     return copy(mode.equals(READ_THROUGH), dedupScope, faults);
   }
 
-  /** The same with another {@link #dedupScope()}. */
+  /** Returns a copy with another {@link #dedupScope()}. */
   public Scenario withDedupScope(String dedupScope) {
     return copy(readThrough, dedupScope, faults);
   }
@@ -144,7 +152,7 @@
         faults);
   }
 
-  /** The same with one figure set. */
+  /** Returns a copy with one parameter set to another value. */
   public Scenario with(ScenarioParameter parameter, double value) {
     return new Scenario(
         parameter == ScenarioParameter.SEED ? (long) value : seed,
@@ -167,7 +175,10 @@
         faults);
   }
 
-  /** When the last fault is over, in milliseconds; a permanent one counts with its beginning. */
+  /**
+   * Returns when the last fault ends, in milliseconds since the run began; of a permanent fault,
+   * its beginning counts.
+   */
   public long lastFaultEndMs() {
     return faults.stream().mapToLong(fault -> fault.atMs() + fault.activeMs()).max().orElse(0);
   }
--- a/src/main/java/pathgw/simulation/scenario/ScenarioFormat.java
+++ b/src/main/java/pathgw/simulation/scenario/ScenarioFormat.java
@@ -5,10 +5,10 @@
 import pathgw.config.InvalidInputException;
 
 /**
- * The text of a scenario: one figure, choice or fault a line.
+ * Reads and writes the text form of a scenario, with one parameter, choice or fault per line.
  *
- * <p>What no line says is as in {@link Scenario#DEFAULTS}; blank lines and what follows a {@code #}
- * are ignored.
+ * <p>A parameter or choice without a line has its value in {@link Scenario#DEFAULTS}. Blank lines
+ * and comments, which start with a {@code #}, are ignored.
  */
 final class ScenarioFormat {
   private static final String MODE = "mode";
@@ -17,7 +17,7 @@
 
   private ScenarioFormat() {}
 
-  /** Writes a scenario. */
+  /** Returns the text of a scenario. */
   static String write(Scenario scenario) {
     StringBuilder text = new StringBuilder();
     for (ScenarioParameter parameter : ScenarioParameter.values()) {
@@ -43,9 +43,9 @@
   }
 
   /**
-   * Reads a scenario.
+   * Parses the text of a scenario.
    *
-   * @throws InvalidInputException if a line cannot be read; the message names the line
+   * @throws InvalidInputException if a line cannot be parsed; the message names the line
    */
   static Scenario parse(String text) {
     Scenario scenario = Scenario.DEFAULTS;
--- a/src/main/java/pathgw/simulation/scenario/ScenarioGenerator.java
+++ b/src/main/java/pathgw/simulation/scenario/ScenarioGenerator.java
@@ -7,20 +7,22 @@
 import pathgw.simulation.scenario.Scenario.Fleet;
 
 /**
- * Draws a whole scenario from a seed: the shape of the cluster, and faults that come alone,
- * together and one over the other.
+ * Draws a whole scenario from a seed: the shape of the cluster, and faults that come alone, at the
+ * same time or overlapping.
  *
- * <p>The draws and their order are fixed, so that a seed stands for the same scenario for ever.
+ * <p>The draws and their order must not change, so that a seed always gives the same scenario.
  */
 public final class ScenarioGenerator {
   private static final long DURATION_MS = 20_000;
 
-  /** Faults end by then, so that the run shows whether service recovers. */
+  /**
+   * The latest end of temporary faults, so that the rest of the run shows whether service recovers.
+   */
   private static final long MAX_FAULT_END_MS = 11_000;
 
   private static final int MAX_CONCURRENT_FAULTS = 4;
 
-  /** One large fleet in so many has all its watches silent. */
+  /** Every fourth seed draws a fleet in which all watches fall silent. */
   private static final int SEEDS_PER_SILENT_WATCH_FLEET = 4;
 
   private final Random random;
@@ -29,7 +31,7 @@
     random = new Random(seed * 0x9E3779B97F4A7C15L + 1);
   }
 
-  /** A cluster of a few proxies and nodes under faults of any kind. */
+  /** Draws a small cluster with faults of any kind. */
   public static Scenario scenario(long seed) {
     return new ScenarioGenerator(seed).smallCluster().with(ScenarioParameter.SEED, seed);
   }
@@ -41,29 +43,29 @@
     boolean readThrough = random.nextInt(3) == 0;
     double invalidClients = random.nextInt(3) == 0 ? 2 : 0;
     int warmUpRounds = random.nextInt(16) == 0 ? 6 : random.nextInt(4) == 0 ? 1 : 0;
-    // Few nodes under many requests: only there can a cold node be overloaded.
+    // Few nodes under many requests: cold nodes can be overloaded only in such clusters.
     boolean dense = random.nextInt(4) == 0;
     nodes = dense ? 3 + nodes / 8 : nodes;
     double rate = dense ? 60 + random.nextInt(80) : 10 + 8 * proxies + random.nextInt(40);
     Scenario shape =
         new Scenario(
-            0,
+            /* seed= */ 0,
             DURATION_MS,
             proxies,
             nodes,
             readThrough,
-            dedupScopes[random.nextInt(4)],
-            100 + 100 * random.nextInt(10),
+            /* dedupScope= */ dedupScopes[random.nextInt(4)],
+            /* dedupWindowMs= */ 100 + 100 * random.nextInt(10),
             rate,
-            20 << random.nextInt(6),
-            random.nextInt(3) / 2.0,
+            /* keys= */ 20 << random.nextInt(6),
+            /* zipfExponent= */ random.nextInt(3) / 2.0,
             invalidClients,
             warmUpRounds,
-            (3 + random.nextInt(6)) / 2.0,
-            (3 + random.nextInt(4)) / 2.0,
-            random.nextInt(3) == 0 ? 160 + random.nextInt(100) : 1024,
-            random.nextInt(3) == 0 ? 0.5 : 0,
-            Scenario.DEFAULTS.fleet(),
+            /* capacityFactor= */ (3 + random.nextInt(6)) / 2.0,
+            /* coldCrashMultiple= */ (3 + random.nextInt(4)) / 2.0,
+            /* maxDescriptors= */ random.nextInt(3) == 0 ? 160 + random.nextInt(100) : 1024,
+            /* idleClientShare= */ random.nextInt(3) == 0 ? 0.5 : 0,
+            /* fleet= */ Scenario.DEFAULTS.fleet(),
             List.of());
     List<Fault> faults = new ArrayList<>();
     int episodes = 1 + random.nextInt(5);
@@ -77,7 +79,10 @@
     return shape.withFaults(faults);
   }
 
-  /** Up to 100 proxies that see some tens of requests a second at most, over up to 200 nodes. */
+  /**
+   * Draws a fleet of 60 to 120 proxies, each with at most tens of requests per second, and 80 to
+   * 300 nodes.
+   */
   public static Scenario fleet(long seed) {
     ScenarioGenerator generator = new ScenarioGenerator(seed);
     Scenario drawn =
@@ -88,36 +93,36 @@
   }
 
   /**
-   * All watches fall silent within the first seconds, and right after a quarter of the nodes starts
-   * to drain while it continues to serve. Discovery cannot answer the polls of all proxies before
-   * they count as notified.
+   * Draws a fleet in which all watches fall silent early in the run. Shortly afterwards a quarter
+   * of the nodes is listed as draining but continues to serve. Discovery cannot answer the polls of
+   * all proxies before they count as notified.
    */
   private Scenario fleetWithSilentWatches() {
     int proxies = 80 + random.nextInt(41);
     int nodes = 100 + random.nextInt(201);
     Scenario shape =
         new Scenario(
-            0,
+            /* seed= */ 0,
             DURATION_MS,
             proxies,
             nodes,
-            false,
-            "all",
-            200,
-            proxies * (4 + random.nextInt(6)),
-            10 * nodes,
-            0.7 + random.nextInt(3) / 10.0,
-            0,
-            0,
-            2 + random.nextInt(3) / 2.0,
-            3,
-            512,
-            0,
+            /* readThrough= */ false,
+            /* dedupScope= */ "all",
+            /* dedupWindowMs= */ 200,
+            /* requestsPerSecond= */ proxies * (4 + random.nextInt(6)),
+            /* keys= */ 10 * nodes,
+            /* zipfExponent= */ 0.7 + random.nextInt(3) / 10.0,
+            /* invalidClientsPerSecond= */ 0,
+            /* warmUpRounds= */ 0,
+            /* capacityFactor= */ 2 + random.nextInt(3) / 2.0,
+            /* coldCrashMultiple= */ 3,
+            /* maxDescriptors= */ 512,
+            /* idleClientShare= */ 0,
             new Fleet(
-                2 + random.nextInt(4),
-                0.5,
-                30 + random.nextInt(30),
-                proxies / (5.0 + random.nextInt(4))),
+                /* zones= */ 2 + random.nextInt(4),
+                /* trafficSkew= */ 0.5,
+                /* maxConnectionsPerNode= */ 30 + random.nextInt(30),
+                /* discoveryCallsPerSecond= */ proxies / (5.0 + random.nextInt(4))),
             List.of());
     long at = 1000L + random.nextInt(8000);
     List<Fault> faults = new ArrayList<>();
@@ -139,28 +144,32 @@
     int zones = 2 + random.nextInt(4);
     Scenario shape =
         new Scenario(
-            0,
+            /* seed= */ 0,
             DURATION_MS,
             proxies,
             nodes,
-            false,
-            "all",
-            200,
-            proxies * (3 + random.nextInt(6)),
-            10 * nodes,
-            0.7 + random.nextInt(3) / 10.0,
-            0,
-            0,
-            2 + random.nextInt(3) / 2.0,
-            3,
-            512,
-            0,
+            /* readThrough= */ false,
+            /* dedupScope= */ "all",
+            /* dedupWindowMs= */ 200,
+            /* requestsPerSecond= */ proxies * (3 + random.nextInt(6)),
+            /* keys= */ 10 * nodes,
+            /* zipfExponent= */ 0.7 + random.nextInt(3) / 10.0,
+            /* invalidClientsPerSecond= */ 0,
+            /* warmUpRounds= */ 0,
+            /* capacityFactor= */ 2 + random.nextInt(3) / 2.0,
+            /* coldCrashMultiple= */ 3,
+            /* maxDescriptors= */ 512,
+            /* idleClientShare= */ 0,
             new Fleet(
-                zones, 0.3 + random.nextInt(6) / 10.0, 16 + random.nextInt(25), proxies / 6.0),
+                zones,
+                /* trafficSkew= */ 0.3 + random.nextInt(6) / 10.0,
+                /* maxConnectionsPerNode= */ 16 + random.nextInt(25),
+                /* discoveryCallsPerSecond= */ proxies / 6.0),
             List.of());
     long at = 1000L + random.nextInt(2000);
     List<Fault> faults = new ArrayList<>();
-    // Each of these alone would be a large incident; here two coincide, with smaller faults.
+    // Each of these faults alone would be a large incident; two of them coincide with smaller
+    // faults.
     for (int i = 0; i < 2; i++) {
       long durationMs = 3000L + random.nextInt(4000);
       faults.add(
@@ -181,7 +190,10 @@
     return shape.withFaults(faults);
   }
 
-  /** Many proxies restart during a release, half of the times with discovery down as well. */
+  /**
+   * Draws the restart of many proxies, in half of the cases during a deployment and while discovery
+   * is down.
+   */
   private Fault massRestart(long at, List<Fault> faults) {
     if (random.nextBoolean()) {
       faults.add(new Fault(at, 5000, Kind.LIST_DOWN, Fault.NO_TARGET, 0));
@@ -212,7 +224,8 @@
     return new Fault(
         at,
         switch (kind) {
-          // A loop that stalls for longer has missed all deadlines, like a proxy that died.
+          // A loop that stalls for longer misses all deadlines, which has the same effect as a
+          // killed proxy.
           case STANDS_STILL -> 20 + random.nextInt(600);
           case DIES, MOVES -> random.nextInt(5) == 0 ? 0 : durationMs;
           case DRAINS, FLUSHED, GROWS, LIST_ENDS, HANGUP -> 0;
--- a/src/main/java/pathgw/simulation/scenario/ScenarioParameter.java
+++ b/src/main/java/pathgw/simulation/scenario/ScenarioParameter.java
@@ -3,9 +3,12 @@
 import java.util.Locale;
 import java.util.function.ToDoubleFunction;
 
-/** A number of a scenario: its word in the text, its unit, its bounds and where it is kept. */
+/**
+ * A numeric parameter of a scenario: its word in scenario files, its unit, its bounds, and the
+ * accessor of its value.
+ */
 public enum ScenarioParameter {
-  /** Decides all random draws of the run. */
+  /** {@link Scenario#seed()}. */
   SEED("", 0, ScenarioParameter.UNBOUNDED, Scenario::seed),
   /** {@link Scenario#durationMs()}. */
   LASTS("ms", 0, 3_600_000, Scenario::durationMs),
@@ -50,7 +53,7 @@
   private final double minimum;
   private final double maximum;
 
-  @SuppressWarnings("ImmutableEnumChecker") // A method reference without state.
+  @SuppressWarnings("ImmutableEnumChecker") // The method references are stateless.
   private final ToDoubleFunction<Scenario> getter;
 
   ScenarioParameter(
@@ -61,12 +64,12 @@
     this.getter = getter;
   }
 
-  /** The word of the scenario text. */
+  /** Returns the word for this parameter in scenario files. */
   String word() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  /** The value that a scenario has for this figure. */
+  /** Returns the value of this parameter in a scenario. */
   public double of(Scenario scenario) {
     return getter.applyAsDouble(scenario);
   }
@@ -81,9 +84,10 @@
   }
 
   /**
-   * Reads a value with its unit.
+   * Parses a value with its unit.
    *
-   * @throws IllegalArgumentException if it is no number, has another unit or is out of bounds
+   * @throws IllegalArgumentException if the text is not a number, has another unit or is out of
+   *     bounds
    */
   double parse(String text) {
     if (!text.matches(NUMBER_PATTERN + unit)) {
@@ -98,7 +102,7 @@
     return value;
   }
 
-  /** The line of the scenario text for a value. */
+  /** Returns the line of a scenario file that sets this parameter to a value. */
   String line(double value) {
     return word() + " " + format(value) + unit + "\n";
   }
