--- a/src/main/java/pathgw/simulation/DiscoveryFaults.java
+++ b/src/main/java/pathgw/simulation/DiscoveryFaults.java
@@ -10,9 +10,9 @@
 import pathgw.simulation.cluster.SimulatedNode;
 import pathgw.simulation.scenario.Fault;
 
-/** Faults of the discovery service and of what it lists. */
+/** Injects faults of the discovery service and of the endpoint list. */
 final class DiscoveryFaults {
-  /** All nodes of one fault are listed as draining within this. */
+  /** The time within which all nodes of one fault are listed as draining. */
   private static final long DRAIN_LISTING_SPREAD_NANOS = 1_000_000_000L;
 
   private final SimulatedDiscovery discovery;
@@ -25,7 +25,7 @@
     environment = cluster.environment();
   }
 
-  /** Injects a fault of discovery. */
+  /** Injects a fault of discovery or of the endpoint list. */
   void inject(Fault fault) {
     FakeDiscovery service = discovery.service();
     switch (fault.kind()) {
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Lists a share of the nodes as draining; they continue to serve. */
+  /** Lists a share of the nodes as draining although they continue to serve. */
   private void listAsDraining(Fault fault) {
     List<SimulatedNode> nodes = environment.members().activeNodes().toList();
     int count = (int) Math.ceil(nodes.size() * Math.min(1, fault.magnitude()));
--- a/src/main/java/pathgw/simulation/FaultInjector.java
+++ b/src/main/java/pathgw/simulation/FaultInjector.java
@@ -12,7 +12,7 @@
 import pathgw.simulation.network.VirtualNetwork;
 import pathgw.simulation.scenario.Fault;
 
-/** Lets the faults of a scenario happen, each in the part of the cluster that it concerns. */
+/** Injects the faults of a scenario, each into the part of the cluster that it affects. */
 final class FaultInjector {
   private static final double NANOS_PER_MILLI = 1e6;
 
@@ -33,13 +33,13 @@
     discoveryFaults = new DiscoveryFaults(cluster, timer);
   }
 
-  /** How many faults of each kind were injected, by the kind's word. */
+  /** Returns how many faults of each kind were injected, by the kind's word in scenario files. */
   Map<String, Long> counts() {
     return counts;
   }
 
   /** Injects a fault now. */
-  @SuppressWarnings("EnumOrdinal") // Part of the digest.
+  @SuppressWarnings("EnumOrdinal") // The ordinal is part of the digest.
   void inject(Fault fault) {
     long now = environment.now();
     environment.trace().addToDigest(now, fault.kind().ordinal());
--- a/src/main/java/pathgw/simulation/FaultTimer.java
+++ b/src/main/java/pathgw/simulation/FaultTimer.java
@@ -4,7 +4,7 @@
 import pathgw.simulation.cluster.RunEnvironment;
 import pathgw.simulation.scenario.Fault;
 
-/** Begins faults and ends them after their time. */
+/** Starts faults and ends them after their duration. */
 final class FaultTimer {
   private final RunEnvironment environment;
 
@@ -12,7 +12,7 @@
     this.environment = environment;
   }
 
-  /** Begins a fault now; a permanent one does not end. */
+  /** Starts a fault now and schedules its end, unless it is permanent. */
   void apply(Fault fault, Runnable begin, Runnable end) {
     begin.run();
     if (!fault.isPermanent()) {
@@ -20,7 +20,7 @@
     }
   }
 
-  /** Sets a figure to the strength of the fault, and to its normal value afterwards. */
+  /** Passes the fault's magnitude to a setter now, and the normal value when the fault ends. */
   void apply(Fault fault, DoubleConsumer setter, double normalValue) {
     apply(fault, () -> setter.accept(fault.magnitude()), () -> setter.accept(normalValue));
   }
--- a/src/main/java/pathgw/simulation/NodeFaults.java
+++ b/src/main/java/pathgw/simulation/NodeFaults.java
@@ -12,25 +12,33 @@
 import pathgw.simulation.scenario.Fault;
 import pathgw.simulation.scenario.Fault.Kind;
 
-/** Faults of cache nodes: of one, of a zone, and of all during a deployment. */
+/**
+ * Injects faults of cache nodes: of a single one, of a zone, or of a share of them in a deployment.
+ */
 final class NodeFaults {
   private static final double NANOS_PER_MILLI = 1e6;
 
-  /** A node that died is listed as gone after this and up to a second more. */
+  /**
+   * A crashed node is listed as gone after this delay plus less than {@link
+   * #CRASH_LISTING_SPREAD_MS}.
+   */
   private static final long CRASH_LISTING_DELAY_MS = 300;
 
   private static final long CRASH_LISTING_SPREAD_MS = 1000;
 
-  /** A node that is cut off is listed as gone after this. */
+  /** A node that was cut off is listed as gone after this delay. */
   private static final long CUT_OFF_LISTING_DELAY_MS = 1000;
 
-  /** After it was listed as draining: when a node rejects requests, is listed as gone, and ends. */
+  /**
+   * Delays after a node is listed as draining: until it rejects requests, is listed as gone, and
+   * ends.
+   */
   private static final long DRAIN_REJECTION_DELAY_MS = 1000;
 
   private static final long DRAIN_GONE_LISTING_DELAY_MS = 2500;
   private static final long DRAIN_EXIT_DELAY_MS = 3500;
 
-  /** The least time between two nodes that are replaced in a deployment. */
+  /** The shortest time between the replacements of two nodes in a deployment. */
   private static final long MIN_DEPLOY_INTERVAL_MS = 50;
 
   private final Cluster cluster;
@@ -45,7 +53,7 @@
     members = environment.members();
   }
 
-  /** Injects a fault of one node. */
+  /** Injects a fault of a single node. */
   void inject(Fault fault, SimulatedNode node) {
     switch (fault.kind()) {
       case DIES, MOVES -> crash(node, fault);
@@ -87,12 +95,12 @@
     }
   }
 
-  /** All nodes of a zone die. */
+  /** Crashes all nodes of a zone. */
   void loseZone(Fault fault) {
     zone(fault).forEach(node -> crash(node, fault));
   }
 
-  /** All machines of a zone are cut off. */
+  /** Cuts all machines of a zone off from the network. */
   void cutOffZone(Fault fault) {
     zone(fault).forEach(node -> cutOff(node, fault));
   }
--- a/src/main/java/pathgw/simulation/ProxyFaults.java
+++ b/src/main/java/pathgw/simulation/ProxyFaults.java
@@ -6,7 +6,7 @@
 import pathgw.simulation.cluster.SimulatedProxy;
 import pathgw.simulation.scenario.Fault;
 
-/** Faults of proxies: of one, and of many at once. */
+/** Injects faults of a single proxy or of many proxies at once. */
 final class ProxyFaults {
   private final Cluster cluster;
   private final RunEnvironment environment;
@@ -16,7 +16,7 @@
     environment = cluster.environment();
   }
 
-  /** Injects a fault of one proxy. */
+  /** Injects a fault of a single proxy. */
   void inject(Fault fault, SimulatedProxy proxy) {
     switch (fault.kind()) {
       case KILLED -> killAndRestart(proxy, fault);
@@ -41,7 +41,7 @@
     }
   }
 
-  /** Kills a share of the proxies at once and starts them again. */
+  /** Kills a share of the proxies at once and restarts them. */
   void restartShare(Fault fault) {
     List<SimulatedProxy> proxies = environment.members().proxies();
     int count = (int) (proxies.size() * Math.min(1, fault.magnitude()));
--- a/src/main/java/pathgw/simulation/RunResult.java
+++ b/src/main/java/pathgw/simulation/RunResult.java
@@ -7,13 +7,13 @@
 /**
  * The result of one run.
  *
- * @param scenario what was played
+ * @param scenario the scenario that was run
  * @param violation the first violation of a rule, or null
- * @param digest of all events and bytes, in their order
- * @param steps how many events happened
- * @param virtualMs how long the run took in virtual time
- * @param serviceRate the share of first attempts that were served in the last three seconds
- * @param counts how often each kind of fault, end and response came
+ * @param digest the digest of all events and of all bytes that arrived, in their order
+ * @param steps number of events
+ * @param virtualMs virtual time that the run took, in milliseconds
+ * @param serviceRate the share of first attempts served in the last three seconds of the load
+ * @param counts how often each kind of event and fault occurred, by its name
  */
 record RunResult(
     Scenario scenario,
--- a/src/main/java/pathgw/simulation/ScenarioRun.java
+++ b/src/main/java/pathgw/simulation/ScenarioRun.java
@@ -13,12 +13,12 @@
 import pathgw.simulation.scenario.Fault;
 import pathgw.simulation.scenario.Scenario;
 
-/** Plays one scenario from its start to its end, or to the first violation of a rule. */
+/** Runs one scenario from its start to its end, or to the first violation of a rule. */
 final class ScenarioRun {
-  /** The service rate is measured over this last part of the run. */
+  /** The service rate is measured over the last part of the load, which has this length. */
   private static final long SERVICE_RATE_WINDOW_MS = 3000;
 
-  /** After the last request, until nothing may be held any more. */
+  /** How long a run continues after the last request, until proxies must hold no resources. */
   private static final long SETTLE_TIME_MS = 8000;
 
   private static final long NANOS_PER_MILLI = RunEnvironment.NANOS_PER_MILLI;
@@ -40,9 +40,9 @@
   }
 
   /**
-   * Plays a scenario.
+   * Runs a scenario.
    *
-   * @param traceConsumer receives each line of what happens; null for none
+   * @param traceConsumer receives a line for each event; null for no trace
    */
   static RunResult play(Scenario scenario, Mutation mutation, Consumer<String> traceConsumer) {
     return new ScenarioRun(scenario, mutation, traceConsumer).play();
--- a/src/main/java/pathgw/simulation/ScenarioShrinker.java
+++ b/src/main/java/pathgw/simulation/ScenarioShrinker.java
@@ -9,17 +9,19 @@
 import pathgw.simulation.scenario.ScenarioParameter;
 
 /**
- * Makes a scenario that violates a rule as small as it can be with the same kind of violation.
+ * Reduces a scenario that violates a rule to a small one with the same kind of violation.
  *
- * <p>It tries one simplification after another and keeps each that still fails, until a whole round
- * changes nothing or the bound on runs is reached.
+ * <p>It tries one simplification after another and keeps each that still violates the rule, until a
+ * whole round changes nothing or {@link #MAX_RUNS} is reached.
  */
 final class ScenarioShrinker {
   private static final int MAX_RUNS = 400;
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final long MIN_DURATION_MS = 500;
 
-  /** A violation may need this long after its cause to be seen again. */
+  /**
+   * How much longer than until the violation a run lasts, so that a delayed detection still occurs.
+   */
   private static final long DURATION_MARGIN_MS = 1000;
 
   private static final List<ScenarioParameter> PARAMETERS_TO_ZERO =
@@ -45,7 +47,7 @@
     smallest = failed.scenario();
   }
 
-  /** The smallest scenario found; it plays a bounded number of runs. */
+  /** Returns the smallest scenario found within a limited number of runs. */
   static Scenario shrink(RunResult failed, Mutation mutation) {
     ScenarioShrinker shrinker = new ScenarioShrinker(failed, mutation);
     Scenario before;
@@ -59,7 +61,7 @@
     return shrinker.smallest;
   }
 
-  /** Keeps a simpler scenario if it has the same kind of violation. */
+  /** Replaces the smallest scenario by a simpler one if that has the same kind of violation. */
   private boolean tryScenario(Scenario simpler) {
     if (simpler.equals(smallest) || runs++ >= MAX_RUNS) {
       return false;
@@ -71,7 +73,10 @@
     return false;
   }
 
-  /** What comes after the violation is not its cause; but a leak shows only at the end of a run. */
+  /**
+   * Shortens the run and removes the faults after its end. Events after the violation cannot have
+   * caused it, but a leak is only detected at the end of a run.
+   */
   private void shrinkDuration() {
     long violationDurationMs = violation.atNanos() / NANOS_PER_MILLI + DURATION_MARGIN_MS;
     long[] durations = {smallest.durationMs() / 4, smallest.durationMs() / 2, violationDurationMs};
@@ -85,7 +90,7 @@
     }
   }
 
-  /** Leaves out halves, then quarters, and so on down to each single fault. */
+  /** Removes half of the faults at a time, then a quarter, and so on down to single faults. */
   private void removeFaults() {
     for (int size = Math.max(1, smallest.faults().size() / 2); size >= 1; size /= 2) {
       int start = 0;
--- a/src/main/java/pathgw/simulation/SeedRange.java
+++ b/src/main/java/pathgw/simulation/SeedRange.java
@@ -18,23 +18,23 @@
 import pathgw.simulation.scenario.ScenarioGenerator;
 
 /**
- * Plays a range of seeds, each run wholly on one thread.
+ * Runs the scenarios of a range of seeds, each run on a single thread.
  *
- * <p>The results are taken in the order of the seeds, so that they are the same however many
- * threads there are.
+ * <p>Results are collected in the order of the seeds, so that they do not depend on the number of
+ * threads.
  */
 public final class SeedRange {
   /**
    * The results of a range of seeds.
    *
-   * @param played how many runs there were
-   * @param failures the runs that violated a rule, by seed
-   * @param digest of the digests of all runs, in the order of the seeds
-   * @param virtualMs how long all runs took in virtual time
-   * @param steps how many events all runs had
-   * @param counts how often each kind of fault, end and response came
-   * @param serviceRates the shares of first attempts served at the end of each run without
-   *     violation
+   * @param played number of runs
+   * @param failures the runs that violated a rule, in the order of the seeds
+   * @param digest the combined digests of all runs, in the order of the seeds
+   * @param virtualMs total virtual time of all runs, in milliseconds
+   * @param steps total number of events of all runs
+   * @param counts how often each kind of event and fault occurred, by its name
+   * @param serviceRates for each run without violation, the share of first attempts served at its
+   *     end
    */
   public record Result(
       long played,
@@ -48,28 +48,36 @@
   /**
    * A run that violated a rule.
    *
-   * @param seed of the run
-   * @param violation in words
-   * @param scenario the text of the scenario that was drawn
-   * @param shrunk the text of a small scenario with the same violation; empty if it was not shrunk
+   * @param seed the seed of the run
+   * @param violation description of the violation
+   * @param scenario text of the scenario drawn from the seed
+   * @param shrunk text of a small scenario with the same violation; empty if it was not shrunk
    */
   public record Failure(long seed, String violation, String scenario, String shrunk) {}
 
-  /** Hears how far a range has been played. */
+  /** Receives the progress through a range of seeds. */
   public interface ProgressListener {
-    /** Ignores the progress. */
+    /** A listener that does nothing. */
     ProgressListener NONE = (played, failed) -> {};
 
-    /** One more run has ended; called in the order of the seeds. */
+    /**
+     * Called after each run, in the order of the seeds.
+     *
+     * @param played number of runs so far
+     * @param failed number of runs so far that violated a rule
+     */
     void runEnded(long played, long failed);
   }
 
-  /** This many runs for each thread are submitted ahead of the one whose result is awaited. */
+  /** How many runs per thread are submitted ahead of the run whose result is awaited. */
   private static final int RUNS_AHEAD_PER_THREAD = 16;
 
   private static final int MAX_SHRUNK_SCENARIOS = 8;
 
-  /** Runs of large fleets take some hundred times as long. */
+  /**
+   * Only one, since runs of large fleets take about a hundred times as long as those of small
+   * clusters.
+   */
   private static final int MAX_SHRUNK_FLEETS = 1;
 
   private static final long DIGEST_MULTIPLIER = 0x9E3779B97F4A7C15L;
@@ -93,9 +101,11 @@
   }
 
   /**
-   * Plays a range of seeds, both ends included.
+   * Runs the scenarios of small clusters for a range of seeds.
    *
-   * @param shrink whether the first few failures are shrunk
+   * @param from the first seed
+   * @param to the last seed, included
+   * @param shrink whether the scenarios of the first few failures are shrunk
    */
   public static Result play(
       long from, long to, int threads, boolean shrink, ProgressListener progress)
@@ -104,7 +114,7 @@
         .play(from, to, ScenarioGenerator::scenario, shrink ? MAX_SHRUNK_SCENARIOS : 0);
   }
 
-  /** The same with large fleets. */
+  /** Runs the scenarios of large fleets for a range of seeds; see {@link #play}. */
   public static Result playFleets(
       long from, long to, int threads, boolean shrink, ProgressListener progress)
       throws InterruptedException {
@@ -113,17 +123,22 @@
   }
 
   /**
-   * Plays one scenario.
+   * Runs one scenario.
    *
-   * @param traceConsumer receives each line of what happens; null for none
-   * @return the violation in words, or null
+   * @param scenario text of the scenario
+   * @param traceConsumer receives a line for each event; null for no trace
+   * @return description of the violation, or null if all rules were kept
    */
   public static String playScenario(String scenario, Consumer<String> traceConsumer) {
     RunResult result = ScenarioRun.play(Scenario.parse(scenario), Mutation.NONE, traceConsumer);
     return result.violation() == null ? null : result.violation().toString();
   }
 
-  /** The text of the scenario that a seed draws. */
+  /**
+   * Returns the text of the scenario drawn from a seed.
+   *
+   * @param fleet whether to draw a large fleet
+   */
   public static String scenario(long seed, boolean fleet) {
     Scenario scenario = fleet ? ScenarioGenerator.fleet(seed) : ScenarioGenerator.scenario(seed);
     return scenario.toString();
@@ -149,7 +164,7 @@
     Deque<Future<RunResult>> pending = new ArrayDeque<>();
     long nextSeed = from;
     while (nextSeed <= to || !pending.isEmpty()) {
-      // Bounded, so that a large range does not queue all its scenarios at once.
+      // Limits the number of pending runs, so that a large range does not queue all its scenarios.
       while (nextSeed <= to && pending.size() < threads * RUNS_AHEAD_PER_THREAD) {
         Scenario scenario = generator.apply(nextSeed++);
         pending.add(executor.submit(() -> ScenarioRun.play(scenario, mutation, null)));
--- a/src/main/java/pathgw/simulation/package-info.java
+++ b/src/main/java/pathgw/simulation/package-info.java
@@ -1,10 +1,11 @@
 /**
- * Answers whether the unchanged proxy keeps the deployment's rules under faults: it plays scenarios
- * on a virtual network and clock, with faults drawn from a seed, exactly the same each time.
+ * Checks whether the production code of the proxy keeps the deployment's rules under faults. It
+ * runs scenarios on a virtual network and clock, with faults drawn from a seed; the same seed
+ * always gives the same run.
  *
- * <p>{@link pathgw.simulation.SeedRange} is the door, called by the command line. A run that
- * violates a rule is shrunk to a scenario that a person can read. Nothing here reads the wall clock
- * or draws a random number that no seed gave, and only {@code SeedRange} uses threads, one for a
- * whole run; nothing that serves may depend on this package.
+ * <p>{@link pathgw.simulation.SeedRange} is the entry point, used by the command line. If a run
+ * violates a rule, its scenario is shrunk to one that is short enough to read. Nothing in this
+ * package reads the wall clock or draws random numbers that do not depend on the seed. Only {@code
+ * SeedRange} uses threads, one per run. Code that serves requests must not depend on this package.
  */
 package pathgw.simulation;
