--- a/src/main/java/pathgw/simulation/cluster/Cluster.java
+++ b/src/main/java/pathgw/simulation/cluster/Cluster.java
@@ -28,9 +28,9 @@
   private final FakeClients clients;
 
   /**
-   * Builds the cluster of a scenario; nothing runs yet.
+   * Builds the cluster of a scenario without starting it.
    *
-   * @param traceConsumer receives each line of what happens; null for none
+   * @param traceConsumer receives a line for each event; null for no trace
    */
   public Cluster(Scenario scenario, Mutation mutation, Consumer<String> traceConsumer) {
     environment = new RunEnvironment(scenario, traceConsumer);
@@ -110,27 +110,27 @@
     clientsProcess.schedule(CLIENT_START_DELAY, clients::start);
   }
 
-  /** What all parts of the run share. */
+  /** Returns the state that all parts of the run share. */
   public RunEnvironment environment() {
     return environment;
   }
 
-  /** The discovery service. */
+  /** Returns the discovery service. */
   public SimulatedDiscovery discovery() {
     return discovery;
   }
 
-  /** The life cycle of cache nodes, and the origin. */
+  /** Returns the lifecycle of the cache nodes and the origin. */
   public NodeLifecycle nodes() {
     return nodes;
   }
 
-  /** The life cycle of proxies. */
+  /** Returns the lifecycle of the proxies. */
   public ProxyLifecycle proxies() {
     return proxies;
   }
 
-  /** The clients. */
+  /** Returns the clients. */
   public FakeClients clients() {
     return clients;
   }
--- a/src/main/java/pathgw/simulation/cluster/ClusterMembers.java
+++ b/src/main/java/pathgw/simulation/cluster/ClusterMembers.java
@@ -16,32 +16,35 @@
     this.scenario = scenario;
   }
 
-  /** All cache nodes, by number. */
+  /** Returns all cache nodes, indexed by number. */
   public List<SimulatedNode> nodes() {
     return nodes;
   }
 
-  /** All proxies, by number. */
+  /** Returns all proxies, indexed by number. */
   public List<SimulatedProxy> proxies() {
     return proxies;
   }
 
-  /** The proxy with a name like {@code p7}. */
+  /** Returns the proxy with the given name, such as {@code p7}. */
   public SimulatedProxy proxyNamed(String name) {
     return proxies.get(parseNumber(name));
   }
 
-  /** The nodes that run and are not leaving. */
+  /** Returns the nodes whose process runs and that are not leaving. */
   public Stream<SimulatedNode> activeNodes() {
     return nodes.stream().filter(SimulatedNode::isActive);
   }
 
-  /** Whether another node may leave for good: more than half of the first ones stay. */
+  /**
+   * Whether another node may leave permanently: more than half of the initial number must be
+   * active.
+   */
   public boolean mayRemoveNode() {
     return activeNodes().count() > Math.max(1, scenario.nodes() / 2);
   }
 
-  /** How many times the steady load the remaining nodes can serve. */
+  /** Returns the capacity of the active nodes as a multiple of the steady load. */
   public double capacityFactor() {
     double remainingShare = (double) activeNodes().count() / scenario.nodes();
     return scenario.capacityFactor() * Math.min(1, remainingShare);
--- a/src/main/java/pathgw/simulation/cluster/ClusterSettings.java
+++ b/src/main/java/pathgw/simulation/cluster/ClusterSettings.java
@@ -2,20 +2,18 @@
 
 import java.time.Duration;
 
-/**
- * Figures of the simulated deployment that both the fakes and the proxies' settings have to know.
- */
+/** Settings of the simulated deployment that both the fakes and the proxies' configurations use. */
 final class ClusterSettings {
-  /** The share of its capacity that a cold node starts with. */
+  /** The share of its full capacity that a cold node starts with. */
   static final double COLD_CAPACITY_SHARE = 0.3;
 
-  /** How long a node warms up. */
+  /** How long a node is warming up after its start. */
   static final Duration WARM_UP_TIME = Duration.ofSeconds(4);
 
-  /** A node or the origin fails after being overloaded for this long. */
+  /** A node or the origin fails if it is overloaded for this long. */
   static final Duration OVERLOAD_WINDOW = Duration.ofSeconds(2);
 
-  /** A node or the origin closes connections that are idle for this long. */
+  /** A node or the origin closes a connection that has been idle for this long. */
   static final Duration CONNECTION_IDLE_LIMIT = Duration.ofSeconds(3);
 
   static final Duration RESPONSE_SLACK = Duration.ofMillis(50);
--- a/src/main/java/pathgw/simulation/cluster/EndpointHealth.java
+++ b/src/main/java/pathgw/simulation/cluster/EndpointHealth.java
@@ -2,16 +2,16 @@
 
 import java.util.Locale;
 
-/** The states of an endpoint as discovery lists them. */
+/** The states of an endpoint in the endpoint list. */
 public enum EndpointHealth {
-  /** It takes new requests. */
+  /** The endpoint accepts new requests. */
   READY,
-  /** It finishes what it has; nothing new may be sent to it. */
+  /** The endpoint completes its current requests; it must not get new ones. */
   DRAINING,
-  /** It has left. */
+  /** The endpoint has left. */
   GONE;
 
-  /** The word of the endpoint list. */
+  /** Returns the word for this state in the endpoint list. */
   String word() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/src/main/java/pathgw/simulation/cluster/FakeConnections.java
+++ b/src/main/java/pathgw/simulation/cluster/FakeConnections.java
@@ -6,15 +6,15 @@
 import pathgw.fake.ConnectionSide;
 import pathgw.simulation.network.VirtualConnection;
 
-/** Connects the fakes, which do no I/O, to ends of virtual connections. */
+/** Connects the fakes, which do no I/O themselves, to ends of virtual connections. */
 final class FakeConnections {
   private FakeConnections() {}
 
   /**
-   * Gives a connection to a fake.
+   * Attaches a fake to its end of a connection.
    *
-   * @param acceptor the fake's side; returns null to refuse the connection
-   * @return whether it was accepted
+   * @param acceptor returns the fake's handler for the connection; null to refuse it
+   * @return whether the connection was accepted
    */
   static boolean attach(
       VirtualConnection connection, Function<ConnectionSide, ConnectionHandler> acceptor) {
@@ -27,7 +27,7 @@
     return true;
   }
 
-  /** The name of the proxy at the other end of a connection. */
+  /** Returns the name of the proxy at the remote end of a connection. */
   static String proxyName(VirtualConnection connection) {
     return SimulatedProxy.nameOfHost(connection.remoteAddress().host());
   }
--- a/src/main/java/pathgw/simulation/cluster/ForwardingObserver.java
+++ b/src/main/java/pathgw/simulation/cluster/ForwardingObserver.java
@@ -4,7 +4,7 @@
 import pathgw.fake.BackendObserver;
 import pathgw.fake.Request;
 
-/** Forwards every event to another observer; subclasses add to some. */
+/** Forwards every event to another observer; subclasses override some methods. */
 class ForwardingObserver implements BackendObserver {
   private final BackendObserver delegate;
 
--- a/src/main/java/pathgw/simulation/cluster/Mutation.java
+++ b/src/main/java/pathgw/simulation/cluster/Mutation.java
@@ -2,17 +2,24 @@
 
 import pathgw.transport.Transport;
 
-/** Changes what a proxy sees of its world, so that a test can seed a bug and see it found. */
+/**
+ * Replaces the transport or configuration of a proxy, so that a test can check that the simulation
+ * detects a seeded bug.
+ */
 public interface Mutation {
-  /** Changes nothing. */
+  /** A mutation that changes nothing. */
   Mutation NONE = new Mutation() {};
 
-  /** The transport that a proxy gets instead of the original one. */
+  /**
+   * Returns the transport that a proxy gets in place of the original one.
+   *
+   * @param proxy number of the proxy
+   */
   default Transport transport(Transport original, int proxy) {
     return original;
   }
 
-  /** The configuration's JSON text that a proxy gets instead of the original one. */
+  /** Returns the configuration that a proxy gets in place of the original one, as JSON text. */
   default String config(String original) {
     return original;
   }
--- a/src/main/java/pathgw/simulation/cluster/NodeLifecycle.java
+++ b/src/main/java/pathgw/simulation/cluster/NodeLifecycle.java
@@ -16,7 +16,10 @@
 import pathgw.simulation.network.VirtualProcess;
 import pathgw.simulation.scenario.Scenario;
 
-/** Starts the cache nodes and the origin behind them, and keeps their copies in step. */
+/**
+ * Starts the cache nodes and the origin, and updates the nodes' cached values when the origin
+ * serves reads and writes.
+ */
 public final class NodeLifecycle {
   private static final Address ORIGIN_ADDRESS = new Address("10.3.0.1", 80);
   private static final String ORIGIN_NAME = "origin";
@@ -32,7 +35,7 @@
 
   private static final int MIN_ORIGIN_SLOTS = 3;
 
-  /** Origin slots for each request a second of the steady load. */
+  /** Number of origin slots per request/s of the steady load. */
   private static final double ORIGIN_SLOTS_PER_REQUEST_PER_SECOND = 0.01;
 
   private static final Duration ORIGIN_SERVICE_TIME = Duration.ofMillis(25);
@@ -41,7 +44,7 @@
   private static final double ORIGIN_OVERLOAD_FACTOR = 2.5;
   private static final Duration ORIGIN_DOWN_TIME = Duration.ofSeconds(3);
 
-  /** A node that failed is listed as gone this much later. */
+  /** A node that crashed from overload is listed as gone after this delay. */
   private static final long CRASH_LISTING_DELAY_MS = 500;
 
   private final RunEnvironment environment;
@@ -108,7 +111,7 @@
         scenario.readThrough() ? origin : null);
   }
 
-  /** What goes wrong with requests at the origin. */
+  /** Returns the faults currently injected into the origin's request handling. */
   public FaultInjection originFaults() {
     return originFaults;
   }
@@ -125,7 +128,7 @@
                     side -> origin.accept(FakeConnections.proxyName(connection), side)));
   }
 
-  /** Lists the origin, for proxies that fetch from it themselves. */
+  /** Adds the origin to the endpoint list, for proxies that fetch from it themselves. */
   void publishOrigin() {
     discovery.publishInitially(
         new EndpointEntry(
@@ -138,7 +141,7 @@
             0));
   }
 
-  /** Adds a node that is warm and has a copy of each key. */
+  /** Adds a warm node that has every key cached. */
   void addWarmNode() {
     SimulatedNode node = newNode();
     start(node, false);
@@ -148,7 +151,7 @@
     discovery.publishInitially(node.entry(EndpointHealth.READY));
   }
 
-  /** Adds and lists a node that is cold. */
+  /** Adds a node with a cold cache and lists it as ready. */
   public void addColdNode() {
     SimulatedNode node = newNode();
     start(node, true);
@@ -162,13 +165,13 @@
     return node;
   }
 
-  /** Starts a node that died, cold and at its old address, and lists it. */
+  /** Restarts a crashed node at its old address with a cold cache, and lists it as ready. */
   public void restart(SimulatedNode node) {
     start(node, true);
     discovery.publish(node, EndpointHealth.READY);
   }
 
-  /** Starts a node that died, cold and at a new address, and lists it. */
+  /** Restarts a crashed node at a new address with a cold cache, and lists it as ready. */
   public void restartElsewhere(SimulatedNode node) {
     node.address = null;
     restart(node);
@@ -226,7 +229,10 @@
     discovery.publishLater(node, EndpointHealth.GONE, CRASH_LISTING_DELAY_MS);
   }
 
-  /** Notes at which nodes a read missed, so that the origin's response leaves a copy there. */
+  /**
+   * Records at which nodes a read missed, so that the value is cached there once the origin serves
+   * it.
+   */
   private final class MissObserver extends ForwardingObserver {
     private final SimulatedNode node;
 
@@ -244,7 +250,10 @@
     }
   }
 
-  /** Stores and drops copies at the nodes as the origin serves reads and writes. */
+  /**
+   * Caches a value at the nodes where its read had missed, and removes outdated values from all
+   * nodes.
+   */
   private final class CacheUpdater implements FakeOrigin.CacheListener {
     @Override
     public void valueFetched(Request command, int version) {
--- a/src/main/java/pathgw/simulation/cluster/ProxyConfigurations.java
+++ b/src/main/java/pathgw/simulation/cluster/ProxyConfigurations.java
@@ -7,7 +7,7 @@
 import pathgw.config.Address;
 import pathgw.simulation.scenario.Scenario;
 
-/** Writes the JSON configurations of the simulated proxies. */
+/** Creates the JSON configurations of the simulated proxies. */
 final class ProxyConfigurations {
   private static final int SEED_MULTIPLIER = 31;
 
@@ -30,7 +30,7 @@
     scenario = environment.scenario();
   }
 
-  /** The configuration of a proxy that starts or reloads now. */
+  /** Returns the configuration of a proxy that starts or reloads now, as JSON text. */
   String jsonFor(SimulatedProxy proxy) {
     return String.format(
         Locale.ROOT,
--- a/src/main/java/pathgw/simulation/cluster/ProxyLifecycle.java
+++ b/src/main/java/pathgw/simulation/cluster/ProxyLifecycle.java
@@ -17,10 +17,10 @@
 public final class ProxyLifecycle {
   private static final Address BROADCAST_ADDRESS = new Address("10.0.255.1", 7946);
 
-  /** A graceful shutdown must end within this. */
+  /** The time limit of a graceful shutdown. */
   private static final long STOP_LIMIT_MS = 4500;
 
-  /** A stall that ended less than this before the limit excuses a late shutdown. */
+  /** A late shutdown is no violation if the proxy was stalled within this time before the limit. */
   private static final long STALL_ALLOWANCE_NANOS = 3_000_000_000L;
 
   private static final long MIN_RESTART_DELAY_MS = 1;
@@ -43,7 +43,7 @@
     configurations = new ProxyConfigurations(environment, discovery, BROADCAST_ADDRESS);
   }
 
-  /** Adds the next proxy and starts it with the list as it is now. */
+  /** Adds the next proxy and starts it with the current endpoint list. */
   void addProxy() {
     SimulatedProxy proxy = new SimulatedProxy(environment.members().proxies().size());
     environment.members().proxies().add(proxy);
@@ -102,7 +102,7 @@
         connection -> observeConnection(proxy.number, connection));
   }
 
-  /** Reads along what a proxy sends to a cache node or the origin. */
+  /** Observes the commands that a proxy sends to a cache node or the origin. */
   private void observeConnection(int proxy, VirtualConnection connection) {
     String target = connection.remoteOwner().name();
     environment.checker().connectionOpened(target);
@@ -112,7 +112,10 @@
     }
   }
 
-  /** Reports each complete command on a connection, with the time of its first byte. */
+  /**
+   * Reports each complete command on a connection, with the time at which its first byte was
+   * written.
+   */
   private final class CommandObserver implements Consumer<Buffer> {
     private static final long NOT_STARTED = -1;
 
@@ -149,13 +152,21 @@
     proxy.serving = false;
   }
 
-  /** Kills a proxy and starts it again after a delay, of a millisecond at least. */
+  /**
+   * Kills a proxy and restarts it after a delay.
+   *
+   * @param delayMs delay in milliseconds, increased to at least 1
+   */
   public void killAndRestart(SimulatedProxy proxy, long delayMs) {
     kill(proxy);
     environment.afterMillis(Math.max(MIN_RESTART_DELAY_MS, delayMs), () -> start(proxy));
   }
 
-  /** Shuts a proxy down gracefully and starts it again some time after it has stopped. */
+  /**
+   * Shuts a proxy down gracefully and restarts it afterwards.
+   *
+   * @param delayMs delay between the end of the shutdown and the restart, in milliseconds
+   */
   public void stopAndRestart(SimulatedProxy proxy, long delayMs) {
     VirtualProcess process = proxy.process;
     proxy.stopping = true;
@@ -192,7 +203,7 @@
     environment.afterMillis(Math.max(MIN_RESTART_DELAY_MS, delayMs), () -> start(proxy));
   }
 
-  /** Moves discovery and sends SIGHUP to all proxies, which reload their configuration. */
+  /** Moves discovery to another address and reloads all proxies, as after a SIGHUP. */
   public void moveDiscovery() {
     discovery.moveToOtherAddress();
     environment.members().proxies().stream()
--- a/src/main/java/pathgw/simulation/cluster/RunEnvironment.java
+++ b/src/main/java/pathgw/simulation/cluster/RunEnvironment.java
@@ -10,9 +10,12 @@
 import pathgw.simulation.network.VirtualProcess;
 import pathgw.simulation.scenario.Scenario;
 
-/** What all parts of one run share: scenario, event queue, network, members, trace and checker. */
+/**
+ * State that all parts of one run share: scenario, event queue, network, members, trace and
+ * checker.
+ */
 public final class RunEnvironment {
-  /** Nanoseconds in a millisecond of scenario time. */
+  /** Nanoseconds per millisecond. */
   public static final long NANOS_PER_MILLI = 1_000_000;
 
   private static final long SEED_MULTIPLIER = 1_000_003;
@@ -47,57 +50,68 @@
         scenario.maxDescriptors());
   }
 
-  /** What this run plays. */
+  /** Returns the scenario of this run. */
   public Scenario scenario() {
     return scenario;
   }
 
-  /** The pending events and the virtual clock. */
+  /** Returns the pending events and the virtual clock. */
   public EventQueue events() {
     return events;
   }
 
-  /** The virtual network. */
+  /** Returns the virtual network. */
   public VirtualNetwork network() {
     return network;
   }
 
-  /** The nodes and proxies. */
+  /** Returns the cache nodes and proxies. */
   public ClusterMembers members() {
     return members;
   }
 
-  /** The digest and text of the run. */
+  /** Returns the digest and the trace of this run. */
   public Trace trace() {
     return trace;
   }
 
-  /** Who judges the run. */
+  /** Returns the checker of the invariants. */
   public InvariantChecker checker() {
     return checker;
   }
 
-  /** Virtual nanoseconds since the run began. */
+  /** Returns the virtual time in nanoseconds since the run began. */
   public long now() {
     return events.now();
   }
 
-  /** Schedules an action of the world, not of a process, after a delay. */
+  /**
+   * Schedules an action of the simulation itself; unlike a process's events it is never stalled or
+   * dropped.
+   */
   public void afterMillis(long delayMs, Runnable action) {
     afterNanos(delayMs * NANOS_PER_MILLI, action);
   }
 
-  /** Schedules an action of the world, not of a process, after a delay. */
+  /**
+   * Schedules an action of the simulation itself; unlike a process's events it is never stalled or
+   * dropped.
+   */
   public void afterNanos(long delayNanos, Runnable action) {
     events.scheduleInNanos(delayNanos, null, action);
   }
 
-  /** A generator of its own for one part of the run, so that parts do not disturb each other. */
+  /**
+   * Returns a separate generator for one part of the run, so that draws of one part do not change
+   * those of another.
+   */
   Random random(String part) {
     return new Random(scenario.seed() * SEED_MULTIPLIER + part.hashCode());
   }
 
-  /** A process of a fake; an exception in it is a bug of the simulation and ends the run. */
+  /**
+   * Creates a process for a fake; an exception in it is a bug of the simulation and ends the run.
+   */
   VirtualProcess fakeProcess(String name) {
     return new VirtualProcess(
         name,
--- a/src/main/java/pathgw/simulation/cluster/SimulatedDiscovery.java
+++ b/src/main/java/pathgw/simulation/cluster/SimulatedDiscovery.java
@@ -14,10 +14,11 @@
 import pathgw.simulation.scenario.Fault;
 
 /**
- * The discovery service of one run, and the rule by when a proxy counts as notified of a change.
+ * The discovery service of one run. It also determines when a proxy counts as notified of a change,
+ * for rule 3.
  */
 public final class SimulatedDiscovery {
-  /** A proxy that could reach discovery for this long counts as notified. */
+  /** A proxy counts as notified of a change after it could reach discovery for this long. */
   private static final Duration NOTIFICATION_LIMIT = Duration.ofSeconds(6);
 
   private static final long FOREVER_NANOS = Long.MAX_VALUE / 2;
@@ -25,7 +26,7 @@
   private static final String FIRST_HOST = "10.2.0.1";
   private static final String SECOND_HOST = "10.2.0.2";
 
-  /** After a move, connections to the old address are closed this much later. */
+  /** After discovery has moved, it closes the connections to its old address after this delay. */
   private static final long OLD_CONNECTION_CLOSE_DELAY_MS = 1500;
 
   private final RunEnvironment environment;
@@ -33,7 +34,7 @@
   private final FakeDiscovery service;
   private final List<VirtualConnection> connections = new ArrayList<>();
 
-  /** Every published change by its version. */
+  /** The published changes by list version. */
   private final TreeMap<Long, EndpointEntry> changes = new TreeMap<>();
 
   private Address address = new Address(FIRST_HOST, PORT);
@@ -46,7 +47,7 @@
     service.setCallsPerSecond(environment.scenario().fleet().discoveryCallsPerSecond());
   }
 
-  /** The fake service, for faults of the service itself. */
+  /** Returns the fake service, into which faults are injected. */
   public FakeDiscovery service() {
     return service;
   }
@@ -70,7 +71,9 @@
                     }));
   }
 
-  /** Moves to the other address; connections to the old one are closed a little later. */
+  /**
+   * Moves the service to the other address and closes the connections to the old one after a delay.
+   */
   void moveToOtherAddress() {
     environment.network().stopListening(address);
     String host = address.host().equals(FIRST_HOST) ? SECOND_HOST : FIRST_HOST;
@@ -82,12 +85,12 @@
         OLD_CONNECTION_CLOSE_DELAY_MS, () -> oldConnections.forEach(VirtualConnection::close));
   }
 
-  /** Lists a node that is there from the start, of which proxies know from their configuration. */
+  /** Lists an endpoint that exists from the start, which proxies know from their configuration. */
   void publishInitially(EndpointEntry entry) {
     service.update(entry);
   }
 
-  /** Lists a node with a new health. */
+  /** Publishes a new health of a node. */
   public void publish(SimulatedNode node, EndpointHealth health) {
     service.update(node.entry(health));
     long version = service.version();
@@ -102,7 +105,9 @@
     }
   }
 
-  /** Lists a node with a new health after a delay, unless it was started anew by then. */
+  /**
+   * Publishes a new health of a node after a delay, unless the node was restarted in the meantime.
+   */
   public void publishLater(SimulatedNode node, EndpointHealth health, long delayMs) {
     VirtualProcess initialProcess = node.process;
     environment.afterMillis(
@@ -117,9 +122,9 @@
   private record Change(EndpointEntry entry, long version, long publishedAtNanos) {}
 
   /**
-   * A proxy counts as notified of a change once it ran, and discovery was reachable, for {@link
-   * #NOTIFICATION_LIMIT}, whatever became of its calls. A change that was reverted by then does not
-   * count, since nobody can be notified of it any more.
+   * Treats a proxy as notified of a change once the proxy ran and discovery was reachable for
+   * {@link #NOTIFICATION_LIMIT}, even if the proxy's calls failed. A change that was reverted
+   * before that is skipped, since no proxy can be notified of it any more.
    */
   private void assumeNotified(SimulatedProxy proxy, Change change) {
     EndpointEntry entry = change.entry;
@@ -139,8 +144,8 @@
   }
 
   /**
-   * Silences a share of the open watches. What a silent watch misses counts as notified after
-   * {@link #NOTIFICATION_LIMIT}: every change, and also for a proxy whose polls were rejected.
+   * Leaves a share of the open watches open but silent. A proxy with a silent watch counts as
+   * notified of every change after {@link #NOTIFICATION_LIMIT}, even if its polls were rejected.
    */
   public void silenceWatches(double share) {
     service.silenceWatches(share);
@@ -169,7 +174,7 @@
     }
   }
 
-  /** Nobody can count as notified while discovery is down, since it cannot be reached. */
+  /** Records that proxies cannot reach discovery during a fault and so do not count as notified. */
   public void markUnreachable(Fault fault) {
     unreachableUntilNanos =
         fault.isPermanent()
@@ -179,9 +184,9 @@
                 environment.now() + fault.activeMs() * RunEnvironment.NANOS_PER_MILLI);
   }
 
-  /** The proxy's next process will start with the list as it is now. */
+  /** Saves the current endpoint list, with which the proxy's next process starts. */
   void saveListForRestart(SimulatedProxy proxy) {
-    // A complete list is many events of one version; the proxy knows no more after the second.
+    // A complete list arrives as many events with the same version; only the first needs saving.
     if (proxy.lastKnownList != null && proxy.lastKnownVersion == service.version()) {
       return;
     }
--- a/src/main/java/pathgw/simulation/cluster/SimulatedNode.java
+++ b/src/main/java/pathgw/simulation/cluster/SimulatedNode.java
@@ -6,7 +6,7 @@
 import pathgw.fake.server.FaultInjection;
 import pathgw.simulation.network.VirtualProcess;
 
-/** A cache node under one name, through all its processes. */
+/** A cache node, which keeps its name through all restarts of its process. */
 public final class SimulatedNode {
   static final String NAME_PREFIX = "n";
 
@@ -26,7 +26,7 @@
     host = NAME_PREFIX + number;
   }
 
-  /** The zone that it runs in. */
+  /** Returns the number of the node's zone. */
   public int zone() {
     return number % zones;
   }
@@ -35,37 +35,37 @@
     return number % ClusterSettings.FAILURE_DOMAINS;
   }
 
-  /** What goes wrong with its requests. */
+  /** Returns the faults currently injected into the node's request handling. */
   public FaultInjection faults() {
     return faults;
   }
 
-  /** Its current process, which may be dead. */
+  /** Returns the node's current process, which may be dead. */
   public VirtualProcess process() {
     return process;
   }
 
-  /** The fake in its current process. */
+  /** Returns the fake cache node in the current process. */
   public FakeCacheNode cacheNode() {
     return cacheNode;
   }
 
-  /** From now on it is about to leave for good. */
+  /** Marks the node as leaving permanently. */
   public void markLeaving() {
     leaving = true;
   }
 
-  /** Whether it is about to leave for good. */
+  /** Whether the node is leaving or has left permanently. */
   public boolean isLeaving() {
     return leaving;
   }
 
-  /** Whether it runs and is not about to leave. */
+  /** Whether the node's process runs and the node is not leaving. */
   public boolean isActive() {
     return !leaving && !process.isDead();
   }
 
-  /** Its line of the endpoint list. */
+  /** Returns the node's entry in the endpoint list. */
   EndpointEntry entry(EndpointHealth health) {
     return new EndpointEntry(
         host,
--- a/src/main/java/pathgw/simulation/cluster/SimulatedProxy.java
+++ b/src/main/java/pathgw/simulation/cluster/SimulatedProxy.java
@@ -5,7 +5,7 @@
 import pathgw.server.ProxyServer;
 import pathgw.simulation.network.VirtualProcess;
 
-/** A proxy under one name, through all its processes. */
+/** A proxy, which keeps its name through all restarts of its process. */
 public final class SimulatedProxy {
   private static final String NAME_PREFIX = "p";
   private static final int FIRST_SUBNET = 100;
@@ -20,7 +20,10 @@
   boolean serving;
   boolean stopping;
 
-  /** The last complete endpoint list that it had, as JSON; its next process starts with that. */
+  /**
+   * The last complete endpoint list that the proxy received, as JSON; its next process starts with
+   * it.
+   */
   String lastKnownList;
 
   Map<String, String> lastKnownHealth = Map.of();
@@ -30,47 +33,47 @@
     this.number = number;
   }
 
-  /** The number in its name. */
+  /** Returns the number in the proxy's name. */
   public int number() {
     return number;
   }
 
-  /** The name, such as {@code p3}, of it and of each of its processes. */
+  /** Returns the name of the proxy and of each of its processes, such as {@code p3}. */
   public String name() {
     return NAME_PREFIX + number;
   }
 
-  /** Whether a process is one of a proxy. */
+  /** Whether a process belongs to a proxy. */
   public static boolean isProxy(VirtualProcess process) {
     return process.name().startsWith(NAME_PREFIX);
   }
 
-  /** Its current process, which may be dead. */
+  /** Returns the proxy's current process, which may be dead. */
   public VirtualProcess process() {
     return process;
   }
 
-  /** The server in its current process. */
+  /** Returns the server in the current process. */
   public ProxyServer server() {
     return server;
   }
 
-  /** Whether its current process runs and has begun to serve. */
+  /** Whether the proxy has started to serve and its current process runs. */
   public boolean isServing() {
     return isServing(process);
   }
 
-  /** Whether it has begun to serve and this process of it, which may be an earlier one, runs. */
+  /** Whether the proxy has started to serve and the given process, current or earlier, runs. */
   public boolean isServing(VirtualProcess process) {
     return serving && !process.isDead();
   }
 
-  /** Whether it has begun to serve and was not asked to stop. */
+  /** Whether the proxy has started to serve and has not been asked to stop. */
   public boolean isServingNormally() {
     return serving && !stopping;
   }
 
-  /** Where clients connect. */
+  /** Returns the address to which clients connect. */
   Address clientAddress() {
     return new Address(host(number), CLIENT_PORT);
   }
@@ -79,13 +82,13 @@
     return host(number) + ":" + GOSSIP_PORT;
   }
 
-  /** The host of a proxy, from which {@link #nameOfHost} finds its name again. */
+  /** Returns the host of a proxy; {@link #nameOfHost} is the inverse. */
   static String host(int number) {
     int subnet = FIRST_SUBNET + number / PROXIES_PER_SUBNET;
     return "10." + subnet + "." + number % PROXIES_PER_SUBNET + ".1";
   }
 
-  /** The name of the proxy that has a host. */
+  /** Returns the name of the proxy with the given host. */
   static String nameOfHost(String host) {
     String[] parts = host.split("\\.");
     int subnet = Integer.parseInt(parts[1]) - FIRST_SUBNET;
--- a/src/main/java/pathgw/simulation/cluster/package-info.java
+++ b/src/main/java/pathgw/simulation/cluster/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Answers what runs in one simulation: the proxies, unchanged, with the fakes of cache nodes,
- * origin, discovery and clients, each as a process of the virtual network.
+ * Builds the processes of one simulation run on the virtual network: the proxies, which run their
+ * production code, and fakes of the cache nodes, the origin, discovery and the clients.
  *
- * <p>A scenario run builds a {@link pathgw.simulation.cluster.Cluster} and lets its events happen;
- * fault injection changes it through the life cycles of nodes, proxies and discovery. The package
- * judges nothing: what happens is reported to the invariant checker.
+ * <p>A scenario run creates a {@link pathgw.simulation.cluster.Cluster} and processes its events;
+ * fault injection changes the cluster through the lifecycles of nodes, proxies and discovery. The
+ * package checks no rules: it reports what happens to the invariant checker.
  */
 package pathgw.simulation.cluster;
