--- a/src/main/java/pathgw/simulation/network/EventQueue.java
+++ b/src/main/java/pathgw/simulation/network/EventQueue.java
@@ -3,12 +3,14 @@
 import java.util.PriorityQueue;
 
 /**
- * The pending events of one run, by time and then by the order in which they were scheduled.
+ * The pending events of one run, ordered by time and then by the order in which they were
+ * scheduled.
  *
- * <p>Times are virtual nanoseconds since the run began; the clock moves only from event to event.
+ * <p>Times are virtual nanoseconds since the run began. The clock advances only from event to
+ * event.
  */
 public final class EventQueue {
-  /** Something that will happen to a process, or to the world if {@code owner} is null. */
+  /** An event of a process, or of the simulation itself if {@code owner} is null. */
   public static final class Event implements Comparable<Event> {
     private final long atNanos;
     private final long order;
@@ -22,12 +24,14 @@
       this.action = action;
     }
 
-    /** The action will not run, if it has not run yet. */
+    /** Cancels the action if it has not run yet. */
     public void cancel() {
       action = null;
     }
 
-    /** Runs the action once; a stalled process runs it late, when it may have been cancelled. */
+    /**
+     * Runs the action once. A stalled process runs it late, and it may have been cancelled by then.
+     */
     void run() {
       Runnable due = action;
       action = null;
@@ -49,29 +53,40 @@
   private long nextOrder;
   private VirtualProcess lastEventOwner;
 
-  /** Virtual nanoseconds since the run began. */
+  /** Returns the virtual time in nanoseconds since the run began. */
   public long now() {
     return nowNanos;
   }
 
-  /** Schedules an action at a time, or now if that time has passed. */
+  /**
+   * Schedules an action at a time, or now if that time has passed.
+   *
+   * @param atNanos virtual nanoseconds since the run began
+   * @param owner the process that runs the action; null for the simulation itself
+   */
   public Event scheduleAtNanos(long atNanos, VirtualProcess owner, Runnable action) {
     Event event = new Event(Math.max(nowNanos, atNanos), nextOrder++, owner, action);
     queue.add(event);
     return event;
   }
 
-  /** Schedules an action after a delay in nanoseconds. */
+  /** Schedules an action after a delay; see {@link #scheduleAtNanos}. */
   public Event scheduleInNanos(long delayNanos, VirtualProcess owner, Runnable action) {
     return scheduleAtNanos(nowNanos + delayNanos, owner, action);
   }
 
-  /** The process to which the last event happened; null for the world. */
+  /**
+   * Returns the process that owned the last event; null if it belonged to the simulation itself.
+   */
   public VirtualProcess lastEventOwner() {
     return lastEventOwner;
   }
 
-  /** Runs the next event; false once none is left up to {@code endNanos}. */
+  /**
+   * Runs the next event that is due by {@code endNanos}.
+   *
+   * @return whether there was one; if not, the clock is set to {@code endNanos}
+   */
   public boolean step(long endNanos) {
     Event next = queue.peek();
     if (next == null || next.atNanos > endNanos) {
--- a/src/main/java/pathgw/simulation/network/SimulatedTransport.java
+++ b/src/main/java/pathgw/simulation/network/SimulatedTransport.java
@@ -9,7 +9,7 @@
 import pathgw.transport.Connection;
 import pathgw.transport.Transport;
 
-/** The clock, timers and network of one proxy process in the virtual world. */
+/** The clock, timers and network of one simulated proxy process. */
 public final class SimulatedTransport implements Transport {
   /** The time of day at which each run begins, in milliseconds since the Unix epoch. */
   public static final long EPOCH_MS = 1_800_000_000_000L;
@@ -26,9 +26,9 @@
   /**
    * Creates the transport of a process.
    *
-   * @param host the proxy's own host, as others see it
-   * @param broadcastAddress stands for all other proxies as the target of a datagram
-   * @param connectionObserver sees each connection that this proxy opens
+   * @param host the proxy's own host, as remote ends see it
+   * @param broadcastAddress the target address of datagrams that go to all other proxies
+   * @param connectionObserver receives each connection that this proxy opens
    */
   public SimulatedTransport(
       EventQueue events,
@@ -45,7 +45,7 @@
     this.connectionObserver = connectionObserver;
   }
 
-  /** The time of day in a run, in milliseconds since the Unix epoch. */
+  /** Returns the time of day in a run, in milliseconds since the Unix epoch. */
   public static long unixMillis(EventQueue events) {
     return EPOCH_MS + events.now() / NANOS_PER_MILLI;
   }
--- a/src/main/java/pathgw/simulation/network/VirtualConnection.java
+++ b/src/main/java/pathgw/simulation/network/VirtualConnection.java
@@ -12,14 +12,14 @@
 /**
  * One end of a connection between two processes.
  *
- * <p>Bytes arrive in order, after a delay and split anywhere, or not at all if the connection is
- * reset or a machine is cut off.
+ * <p>Bytes arrive in order, after a delay, and may be split at any position. They are lost if the
+ * connection is reset or a machine is cut off.
  */
 public final class VirtualConnection implements Connection {
-  /** Bytes that the two machines buffer for a reader that does not read. */
+  /** Unread bytes that both machines' buffers hold; beyond this, writes stay pending. */
   private static final int WINDOW_BYTES = 1 << 18;
 
-  /** From this many unread bytes on, the connection counts as full for its writer. */
+  /** From this many unread bytes on, the write queue counts as full. */
   private static final int WRITE_QUEUE_FULL_BYTES = 1 << 16;
 
   private final VirtualNetwork network;
@@ -39,12 +39,14 @@
   private boolean outputShutDown;
   private CloseReason closeReason = CloseReason.END_OF_STREAM;
 
-  /** What arrives later than this is lost; what the machine has already can still be read. */
+  /**
+   * Bytes that would arrive after this time are lost; bytes that have arrived can still be read.
+   */
   private long lostAfterNanos = Long.MAX_VALUE;
 
   private boolean wasFull;
 
-  /** Bytes written here that the remote end has not read. */
+  /** The number of bytes written here that the remote end has not read. */
   private long unreadByRemote;
 
   private long lastArrivalNanos;
@@ -63,22 +65,29 @@
     second.remoteEnd = first;
   }
 
-  /** The process at the remote end. */
+  /** Returns the process at the remote end. */
   public VirtualProcess remoteOwner() {
     return remoteEnd.owner;
   }
 
-  /** Nothing that is sent here arrives before then, since the connection is not up earlier. */
+  /**
+   * Delays all bytes sent from this end until the connection is established.
+   *
+   * @param untilNanos virtual time at which the connection is established
+   */
   void delayArrivalsUntil(long untilNanos) {
     lastArrivalNanos = Math.max(lastArrivalNanos, untilNanos);
   }
 
-  /** Sets who sees the bytes that are written here, when they are written. */
+  /**
+   * Sets the observer of all bytes written at this end, which receives them at the time of the
+   * write.
+   */
   public void observeWrites(Consumer<Buffer> observer) {
     writeObserver = observer;
   }
 
-  /** Whether the remote end has not read all that was written here. */
+  /** Whether the remote end has not yet read everything that was written at this end. */
   public boolean hasUnreadBytesAtRemote() {
     return unreadByRemote > 0;
   }
@@ -157,7 +166,8 @@
   private void deliverUnread() {
     while (!paused && !closed && dataHandler != null && !unreadBuffers.isEmpty()) {
       Buffer bytes = unreadBuffers.poll();
-      // After a shutdown of this side's output, bytes that cross it are drained but not accepted.
+      // After a shutdown of this side's output, bytes that cross it are read and discarded, so they
+      // do not count as read for the remote end.
       if (!outputShutDown) {
         remoteEnd.acknowledgeRead(bytes.length());
       }
@@ -195,7 +205,10 @@
     }
   }
 
-  /** If bytes lie unread here, the remote end sees a reset and loses what is in flight to it. */
+  /**
+   * Closes the connection. If bytes are unread here, the remote end sees a reset and loses the
+   * bytes that are in flight to it.
+   */
   @Override
   public void close() {
     if (!closed) {
@@ -214,7 +227,9 @@
     notifyRemoteOfEnd();
   }
 
-  /** Breaks the connection; each end learns of it in its time, and bytes in flight are lost. */
+  /**
+   * Resets the connection: each end is notified after its own delay, and bytes in flight are lost.
+   */
   public void reset() {
     if (!closed) {
       closeLocally();
@@ -241,7 +256,9 @@
     network.runAt(arrivalNanos, remoteEnd.owner, remoteEnd::remoteEnded);
   }
 
-  /** The remote end has ended the connection; a machine that is cut off does not learn of it. */
+  /**
+   * Handles the end of the connection by the remote end; a machine that is cut off is not notified.
+   */
   private void remoteEnded() {
     if (!remoteEnd.owner.isCutOff() && !owner.isCutOff()) {
       notifyClosed();
--- a/src/main/java/pathgw/simulation/network/VirtualNetwork.java
+++ b/src/main/java/pathgw/simulation/network/VirtualNetwork.java
@@ -14,24 +14,24 @@
 /**
  * The network between the processes of one run: connections, datagrams, delays and network faults.
  *
- * <p>Each random draw happens in a fixed order, so that a seed gives the same run every time.
+ * <p>All random draws happen in a fixed order, so that a seed always gives the same run.
  */
 public final class VirtualNetwork {
   private static final long LATENCY_NANOS = 100_000;
 
-  /** One piece in so many is delayed by up to {@link #MAX_SPIKE_NANOS} more. */
+  /** On average one of this many pieces is delayed by up to {@link #MAX_SPIKE_NANOS} more. */
   private static final int PIECES_PER_SPIKE = 64;
 
   private static final int MAX_SPIKE_NANOS = 2_000_000;
 
-  /** One write in so many arrives in two pieces. */
+  /** On average one of this many writes arrives in two pieces. */
   private static final int WRITES_PER_SPLIT = 16;
 
   private static final int FIRST_CLIENT_PORT = 30_000;
 
   /** Accepts the connections to an address. */
   public interface Acceptor {
-    /** Takes the accepting end of a new connection, or returns false to refuse it. */
+    /** Receives the accepting end of a new connection; returns false to refuse it. */
     boolean accept(VirtualConnection connection);
   }
 
@@ -53,7 +53,7 @@
   /**
    * Creates a network without faults.
    *
-   * @param arrivalObserver sees all bytes as they arrive, for the digest of the run
+   * @param arrivalObserver receives all bytes when they arrive, for the digest of the run
    */
   public VirtualNetwork(
       EventQueue events, Random random, BiConsumer<VirtualProcess, Buffer> arrivalObserver) {
@@ -62,17 +62,23 @@
     this.arrivalObserver = arrivalObserver;
   }
 
-  /** Resets connections during this share of the writes to a process, before the last byte. */
+  /**
+   * Sets the share of writes to a process during which the connection is reset, before the last
+   * byte.
+   */
   public void setResetShare(VirtualProcess target, double share) {
     resetShares.put(target, share);
   }
 
-  /** Delays new connections to a process by up to so many nanoseconds. */
+  /** Sets the longest additional delay of new connections to a process, in nanoseconds. */
   public void setMaxConnectDelay(VirtualProcess target, long delayNanos) {
     maxConnectDelaysNanos.put(target, delayNanos);
   }
 
-  /** Loses this share of all datagrams, and delays the others by up to so many nanoseconds. */
+  /**
+   * Sets the share of datagrams that are lost, and the longest additional delay of the others in
+   * nanoseconds.
+   */
   public void setDatagramFaults(double lossShare, long maxDelayNanos) {
     datagramLossShare = lossShare;
     maxDatagramDelayNanos = maxDelayNanos;
@@ -83,7 +89,7 @@
     return share > 0 && random.nextDouble() < share;
   }
 
-  /** Where a write of so many bytes is split in two; 0 if it is not. */
+  /** Draws the position at which a write of this length is split in two; 0 if it is not split. */
   int splitPosition(int length) {
     return length > 1 && random.nextInt(WRITES_PER_SPLIT) == 0 ? 1 + random.nextInt(length - 1) : 0;
   }
@@ -92,7 +98,7 @@
     return events.now();
   }
 
-  /** When something sent now arrives. */
+  /** Draws the arrival time of a message that is sent now. */
   long arrivalNanos() {
     return events.now()
         + LATENCY_NANOS
@@ -104,7 +110,7 @@
     events.scheduleAtNanos(atNanos, owner, action);
   }
 
-  /** Runs an action in a process after the events that are due now. */
+  /** Runs an action in a process at the current time, after all events already scheduled for it. */
   public void runAfterDueEvents(VirtualProcess owner, Runnable action) {
     events.scheduleAtNanos(events.now(), owner, action);
   }
@@ -113,12 +119,12 @@
     arrivalObserver.accept(owner, bytes);
   }
 
-  /** Accepts connections to an address from now on. */
+  /** Starts to accept connections to an address. */
   public void listen(Address address, VirtualProcess owner, Acceptor acceptor) {
     listeners.put(address, new Listener(owner, acceptor));
   }
 
-  /** Refuses new connections to an address from now on; open ones stay. */
+  /** Refuses new connections to an address from now on; open connections stay open. */
   public void stopListening(Address address) {
     listeners.remove(address);
   }
@@ -126,8 +132,8 @@
   /**
    * Opens a connection.
    *
-   * @param localHost the host that the accepting side sees
-   * @return the connection; fails if it is refused or not up within the timeout
+   * @param localHost the client's host, as the accepting side sees it
+   * @return the connection; fails if it is refused or not established within the timeout
    */
   public Future<VirtualConnection> connect(
       VirtualProcess client, String localHost, Address target, long timeoutNanos) {
@@ -152,7 +158,7 @@
 
     void complete(VirtualConnection connection) {
       timeout.cancel();
-      // If it comes up after the timeout, whoever asked for it never hears of it.
+      // The connection was established after the timeout, so its caller cannot close it.
       if (!promise.tryComplete(connection)) {
         connection.close();
       }
@@ -188,7 +194,7 @@
     events.scheduleAtNanos(establishedAtNanos, client, () -> attempt.complete(clientEnd));
   }
 
-  /** Receives the datagrams to an address from now on. */
+  /** Starts to receive the datagrams to an address. */
   public void receiveDatagrams(
       Address address, VirtualProcess owner, BiConsumer<Buffer, Address> handler) {
     datagramReceivers.put(address, new DatagramReceiver(owner, handler));
@@ -197,7 +203,7 @@
   /**
    * Sends a datagram.
    *
-   * @param target one receiver, or {@code broadcast} for all but the sender
+   * @param target the receiver's address, or {@code broadcast} for all receivers but the sender
    */
   public void sendDatagram(Address source, Buffer bytes, Address target, Address broadcast) {
     datagramReceivers.forEach(
--- a/src/main/java/pathgw/simulation/network/VirtualProcess.java
+++ b/src/main/java/pathgw/simulation/network/VirtualProcess.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import pathgw.fake.Clock;
 
-/** One process of the virtual world, from its start to its end; it handles one event at a time. */
+/** One simulated process, from its start to its end. It handles one event at a time. */
 public final class VirtualProcess implements Clock {
   private final String name;
   private final EventQueue events;
@@ -20,9 +20,9 @@
   private boolean cutOff;
 
   /**
-   * Starts a process.
+   * Creates a running process.
    *
-   * @param exceptionHandler receives what one of its event handlers threw
+   * @param exceptionHandler receives exceptions that the process's event handlers throw
    */
   public VirtualProcess(
       String name, EventQueue events, Consumer<RuntimeException> exceptionHandler) {
@@ -31,7 +31,7 @@
     this.exceptionHandler = exceptionHandler;
   }
 
-  /** The name, such as {@code p3} for a proxy or {@code n12} for a cache node. */
+  /** Returns the name, such as {@code p3} for a proxy or {@code n12} for a cache node. */
   public String name() {
     return name;
   }
@@ -54,7 +54,7 @@
     connections.remove(connection);
   }
 
-  /** Handles an event now, or after the current stall, or never if the process is dead. */
+  /** Handles an event now, or after the current stall; drops it if the process is dead. */
   void handle(EventQueue.Event event) {
     if (dead) {
       return;
@@ -74,7 +74,11 @@
     }
   }
 
-  /** Handles nothing until then; events that come meanwhile wait in their order. */
+  /**
+   * Stalls the process: events until then are queued and handled in order afterwards.
+   *
+   * @param untilNanos virtual time at which the stall ends
+   */
   public void stallUntil(long untilNanos) {
     stalledUntilNanos = Math.max(stalledUntilNanos, untilNanos);
     events.scheduleAtNanos(stalledUntilNanos, null, this::handleBacklog);
@@ -86,7 +90,7 @@
     }
   }
 
-  /** The end of the last stall, which may be to come; 0 if it never stalled. */
+  /** Returns when the last stall ended or will end, in virtual nanoseconds; 0 if there was none. */
   public long stalledUntilNanos() {
     return stalledUntilNanos;
   }
@@ -96,24 +100,27 @@
     return dead;
   }
 
-  /** Whether its machine is cut off from the network. */
+  /** Whether the process's machine is cut off from the network. */
   public boolean isCutOff() {
     return cutOff;
   }
 
-  /** Ends the process; its machine resets the connections. */
+  /** Ends the process; its machine resets the process's connections. */
   public void kill() {
     dead = true;
     backlog.clear();
     resetConnections();
   }
 
-  /** Cuts the machine off: nothing arrives or leaves, and nobody learns of it. */
+  /**
+   * Cuts the machine off from the network: nothing arrives or leaves, and no remote end is
+   * notified.
+   */
   public void cutOff() {
     cutOff = true;
   }
 
-  /** Connects the machine again; its old connections are reset. */
+  /** Reconnects the machine to the network; connections from before the cut are reset. */
   public void reconnect() {
     if (cutOff) {
       cutOff = false;
