--- a/src/main/java/pathgw/simulation/DiscoveryFaults.java
+++ b/src/main/java/pathgw/simulation/DiscoveryFaults.java
@@ -39,7 +39,7 @@
       case LIST_ENDS -> service.closeConnections();
       case LIST_SILENT -> discovery.silenceWatches(fault.magnitude());
       case LIST_DRAINS -> listAsDraining(fault);
-      default -> throw new IllegalArgumentException("no fault of discovery: " + fault);
+      default -> throw new IllegalArgumentException("not a fault of discovery: " + fault);
     }
   }
 
--- a/src/main/java/pathgw/simulation/FaultInjector.java
+++ b/src/main/java/pathgw/simulation/FaultInjector.java
@@ -84,7 +84,7 @@
       case ORIGIN_FAILS -> timer.apply(fault, share -> origin.errorShare = share, 0);
       case ORIGIN_SPOILS -> timer.apply(fault, share -> origin.corruptReplyShare = share, 0);
       case ORIGIN_RESETS -> timer.apply(fault, share -> origin.resetShare = share, 0);
-      default -> throw new IllegalArgumentException("no fault of the origin: " + fault);
+      default -> throw new IllegalArgumentException("not a fault of the origin: " + fault);
     }
   }
 
@@ -97,7 +97,7 @@
               fault,
               delayMs -> network.setDatagramFaults(0, (long) (delayMs * NANOS_PER_MILLI)),
               0);
-      default -> throw new IllegalArgumentException("no fault of gossip: " + fault);
+      default -> throw new IllegalArgumentException("not a fault of gossip: " + fault);
     }
   }
 
@@ -110,7 +110,7 @@
       case HOT -> timer.apply(fault, share -> clientBehavior.hotKeyShare = share, 0);
       case GREED -> timer.apply(fault, factor -> clientBehavior.firstTenantWeight = factor, 1);
       case LEAVE -> timer.apply(fault, share -> clientBehavior.abandonedShare = share, 0);
-      default -> throw new IllegalArgumentException("no fault of clients: " + fault);
+      default -> throw new IllegalArgumentException("not a fault of clients: " + fault);
     }
   }
 }
--- a/src/main/java/pathgw/simulation/NodeFaults.java
+++ b/src/main/java/pathgw/simulation/NodeFaults.java
@@ -91,7 +91,7 @@
       case BABBLES -> timer.apply(fault, share -> node.extraBytesShare = share, 0);
       case FAILS -> timer.apply(fault, share -> node.errorShare = share, 0);
       case BUSY -> timer.apply(fault, share -> node.rejectedShare = share, 0);
-      default -> throw new IllegalArgumentException("no fault of a node: " + fault);
+      default -> throw new IllegalArgumentException("not a fault of a node: " + fault);
     }
   }
 
--- a/src/main/java/pathgw/simulation/ProxyFaults.java
+++ b/src/main/java/pathgw/simulation/ProxyFaults.java
@@ -25,7 +25,7 @@
           proxy
               .process()
               .stallUntil(environment.now() + fault.activeMs() * RunEnvironment.NANOS_PER_MILLI);
-      default -> throw new IllegalArgumentException("no fault of a proxy: " + fault);
+      default -> throw new IllegalArgumentException("not a fault of a proxy: " + fault);
     }
   }
 
--- a/src/main/java/pathgw/simulation/SeedRange.java
+++ b/src/main/java/pathgw/simulation/SeedRange.java
@@ -152,7 +152,7 @@
       List<Failure> failures = describeFailures(executor, maxShrunk);
       return new Result(played, failures, digest, virtualMs, steps, counts, serviceRates);
     } catch (ExecutionException e) {
-      throw new IllegalStateException("a seed could not be played", e.getCause());
+      throw new IllegalStateException("the run of a seed threw an exception", e.getCause());
     } finally {
       executor.shutdownNow();
     }
--- a/src/main/java/pathgw/simulation/cluster/ProxyLifecycle.java
+++ b/src/main/java/pathgw/simulation/cluster/ProxyLifecycle.java
@@ -85,7 +85,7 @@
   private void servingStarted(SimulatedProxy proxy) {
     proxy.serving = true;
     clients.proxyStarted(proxy.number);
-    environment.trace().addLine(environment.now(), () -> proxy.name() + " serves");
+    environment.trace().addLine(environment.now(), () -> proxy.name() + " started to serve");
   }
 
   private static Config parse(String json) {
@@ -198,7 +198,7 @@
     if (proxy.process != process || process.isDead()) {
       return;
     }
-    environment.trace().addLine(environment.now(), () -> proxy.name() + " has stopped");
+    environment.trace().addLine(environment.now(), () -> proxy.name() + " completed its shutdown");
     kill(proxy);
     environment.afterMillis(Math.max(MIN_RESTART_DELAY_MS, delayMs), () -> start(proxy));
   }
--- a/src/main/java/pathgw/simulation/invariant/EffectInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/EffectInvariants.java
@@ -31,7 +31,7 @@
             RULE,
             "resend",
             String.format(
-                "%s, %s, is forwarded to %s though %s may have run it %d ms before",
+                "%s (%s) was forwarded to %s although %s may have run it %d ms earlier",
                 request.id(), effect, target, earlier.target, elapsedMs));
       }
     }
@@ -71,7 +71,7 @@
     if (request.clientAttempt.requestClass().effect() == Effect.IDEMPOTENCY_KEYED) {
       run.counters.count("idempotency-keyed request ran twice, each attempt permitted");
     } else {
-      run.violations.report(RULE, "twice", request.id() + " took effect again at " + target);
+      run.violations.report(RULE, "twice", request.id() + " was applied again at " + target);
     }
   }
 
@@ -83,7 +83,7 @@
             || (effect == Effect.IDEMPOTENCY_KEYED && run.limits.dedupScope().equals("all"));
     if (!retryIsSafe && request.mayHaveRun()) {
       run.violations.report(
-          RULE, "denied", request.id() + ", " + effect + ", is rejected though it may have run");
+          RULE, "denied", request.id() + " (" + effect + ") was rejected although it may have run");
     }
   }
 }
--- a/src/main/java/pathgw/simulation/invariant/EndpointInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/EndpointInvariants.java
@@ -112,7 +112,7 @@
           RULE,
           "drain",
           String.format(
-              "p%d forwards %s to %s %d ms after it was notified that it is %s",
+              "p%d forwarded %s to %s %d ms after it was notified that the node is %s",
               proxy, request.id(), target, elapsedMs, state.health));
     }
   }
--- a/src/main/java/pathgw/simulation/invariant/OverloadInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/OverloadInvariants.java
@@ -43,7 +43,7 @@
           RULE,
           "cold",
           String.format(
-              "%s, cold, is overloaded by %d requests, %d of them from proxies that knew it",
+              "%s crashed while warming up: %d requests, %d of them from proxies notified of it",
               node, arrivals.size(), fromNotifiedProxies));
     }
   }
@@ -65,7 +65,7 @@
           RULE,
           "origin",
           String.format(
-              "the origin is overloaded by %d requests, %d of them missed at cold nodes",
+              "the origin failed from overload: %d requests, %d of them had missed at cold nodes",
               arrivals.size(), missedAtColdNodes));
     }
   }
--- a/src/main/java/pathgw/simulation/invariant/RequestInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/RequestInvariants.java
@@ -63,7 +63,7 @@
     boolean afterEnd = startedAtNanos > request.endedAtNanos + MAX_TRANSIT_NANOS;
     if (afterEnd && run.cluster.stalledUntilNanos(proxy) < request.endedAtNanos) {
       reportViolation(
-          "after", request.id() + " is forwarded to " + target + " after it was answered");
+          "after", request.id() + " was forwarded to " + target + " after it had ended");
     }
     long leftAllowance = CLIENT_LEFT_ALLOWANCE_NANOS + 2 * MAX_TRANSIT_NANOS;
     if (request.clientLeft && startedAtNanos > request.endedAtNanos + leftAllowance) {
@@ -71,7 +71,7 @@
       reportViolation(
           "gone",
           String.format(
-              "%s is forwarded to %s %d ms after its client left",
+              "%s was forwarded to %s %d ms after its client left",
               request.id(), target, elapsedMs));
     }
   }
@@ -81,7 +81,7 @@
         request.deadlineNanos() + run.limits.responseSlackNanos() + SOCKET_ALLOWANCE_NANOS;
     if (startedAtNanos > latestStartNanos) {
       reportViolation(
-          "late-hand-off", request.id() + " is forwarded to " + target + " after its deadline");
+          "late-hand-off", request.id() + " was forwarded to " + target + " after its deadline");
     }
   }
 
@@ -100,7 +100,7 @@
       reportViolation(
           "time-told",
           String.format(
-              "%s announces %s ms to %s though its client waits %d ms more",
+              "%s announced a remaining time of %s ms to %s although its client waits only %d ms",
               request.id(), announcedMs, target, remaining / NANOS_PER_MILLI));
     }
   }
@@ -108,7 +108,8 @@
   /** Reports a response that a client received without an open request. */
   void unexpectedResponse(int proxy, String response) {
     reportViolation(
-        "two-answers", "p" + proxy + " sends a response that nobody asked for: " + response);
+        "two-answers",
+        "p" + proxy + " sent a response to a client that had no open request: " + response);
   }
 
   /** Checks that a response came before the deadline plus the allowances. */
@@ -124,7 +125,7 @@
         run.cluster.stalledUntilNanos(proxy) + MAX_TRANSIT_NANOS + SOCKET_ALLOWANCE_NANOS;
     if (lateNanos > 0 && now > stallAllowanceEndNanos) {
       reportViolation(
-          "late", request.id() + " is answered " + lateNanos / NANOS_PER_MILLI + " ms too late");
+          "late", request.id() + " was answered " + lateNanos / NANOS_PER_MILLI + " ms too late");
     }
   }
 
@@ -133,7 +134,8 @@
     boolean containsRequestId = response.line().contains(" O" + request.id());
     if (!containsRequestId || !request.createdResponses.contains(response.payload())) {
       reportViolation(
-          "another's", request.id() + " is served what was not made for it: " + response.line());
+          "another's",
+          request.id() + " was served a response that was not created for it: " + response.line());
     }
   }
 
@@ -141,7 +143,7 @@
   void notServed(int proxy, RequestRecord request, ClientResponse response) {
     if (response.isClientError()) {
       reportViolation(
-          "refused", request.id() + ", a valid command, is answered " + response.line());
+          "refused", request.id() + " is a valid command but was answered " + response.line());
     }
     if (!request.isDecided()) {
       return;
@@ -152,7 +154,7 @@
       reportViolation(
           "held-back",
           String.format(
-              "%s was decided %d ms before its client was told",
+              "%s was decided %d ms before its client got the response",
               request.id(), (now - decidedAt) / NANOS_PER_MILLI));
     }
   }
@@ -173,7 +175,11 @@
     if (!crossed && !proxyDied && !unserved) {
       reportViolation(
           "lost",
-          "p" + proxy + " took " + request.id() + " and ended the connection without a response");
+          "p"
+              + proxy
+              + " accepted "
+              + request.id()
+              + " and ended the connection without a response");
     }
   }
 
@@ -194,7 +200,7 @@
     boolean stalled =
         run.cluster.stalledUntilNanos(proxy) + MAX_TRANSIT_NANOS > request.deadlineNanos();
     if (!proxyDied && !stalled) {
-      reportViolation("no-answer", "p" + proxy + " never answers " + request.id());
+      reportViolation("no-answer", "p" + proxy + " never answered " + request.id());
     }
   }
 
@@ -206,7 +212,7 @@
   void invalidClientEnded(int proxy, String behavior, Duration waited, String response) {
     if (ClientResponse.of(response).isServed()) {
       reportViolation(
-          "served-rude", "p" + proxy + " serves an invalid command, " + behavior + ": " + response);
+          "served-rude", "p" + proxy + " served an invalid command, " + behavior + ": " + response);
     }
     long waitStartNanos =
         run.nowNanos() - (waited == null ? UNANSWERED_WAIT_NANOS : waited.toNanos());
@@ -216,12 +222,14 @@
             || run.cluster.stalledUntilNanos(proxy) > waitStartNanos;
     boolean tooLong = waited == null || waited.toNanos() > MAX_INVALID_CLIENT_WAIT_NANOS;
     if (!excused && tooLong) {
-      reportViolation("rude-alone", "p" + proxy + " leaves an invalid client waiting, " + behavior);
+      reportViolation(
+          "rude-alone",
+          "p" + proxy + " neither answered nor disconnected an invalid client, " + behavior);
     }
   }
 
   /** Reports that a proxy has not completed its graceful shutdown within the limit. */
   void stopTimedOut(int proxy, long limitMs) {
-    reportViolation("stop", "p" + proxy + " has not stopped in " + limitMs + " ms");
+    reportViolation("stop", "p" + proxy + " did not shut down within " + limitMs + " ms");
   }
 }
--- a/src/main/java/pathgw/simulation/invariant/ResourceInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/ResourceInvariants.java
@@ -37,7 +37,7 @@
     if (usage.clients() > usage.maxClients()
         || usage.nodeConnections() > usage.maxNodeConnections()
         || usage.requests() > usage.maxClients() * MAX_REQUESTS_PER_CLIENT) {
-      run.violations.report(RULE, "bounds", "p" + proxy + " holds " + usage);
+      run.violations.report(RULE, "bounds", "p" + proxy + " exceeds its limits: " + usage);
     }
     int descriptors = usage.clients() + usage.nodeConnections() + OTHER_DESCRIPTORS;
     if (descriptors > run.limits.maxDescriptors()) {
@@ -48,7 +48,7 @@
               + proxy
               + " holds "
               + usage
-              + " with "
+              + " with a limit of "
               + run.limits.maxDescriptors()
               + " descriptors");
     }
@@ -57,7 +57,8 @@
   /** Checks that a proxy holds no resources at the end of a run, when no client is left. */
   void checkNothingHeld(int proxy, ResourceUsage usage) {
     if (usage.requests() > 0 || usage.clients() > 0 || usage.nodeConnections() > 0) {
-      run.violations.report(RULE, "leak", "p" + proxy + " still holds " + usage);
+      run.violations.report(
+          RULE, "leak", "p" + proxy + " still holds resources at the end of the run: " + usage);
     }
   }
 
@@ -71,7 +72,7 @@
           "service",
           String.format(
               Locale.ROOT,
-              "%.2f of the first attempts are served %.1f s after the last fault",
+              "only %.2f of the first attempts were served %.1f s after the last fault",
               serviceRate,
               faultFreeMs / MILLIS_PER_SECOND));
     }
@@ -84,6 +85,6 @@
   }
 
   void startFailed(int proxy, Throwable error) {
-    run.violations.report(RULE, "start", "p" + proxy + " does not start: " + error);
+    run.violations.report(RULE, "start", "p" + proxy + " failed to start: " + error);
   }
 }
--- a/src/main/java/pathgw/simulation/network/VirtualConnection.java
+++ b/src/main/java/pathgw/simulation/network/VirtualConnection.java
@@ -113,7 +113,7 @@
   @Override
   public Future<Void> write(Buffer original) {
     if (closed) {
-      return Future.failedFuture(new IOException("closed"));
+      return Future.failedFuture(new IOException("connection closed"));
     }
     Buffer bytes = original.copy();
     if (network.resetsDuringWriteTo(remoteEnd.owner)) {
@@ -121,7 +121,7 @@
       writeObserver.accept(half);
       send(half);
       reset();
-      return Future.failedFuture(new IOException("reset"));
+      return Future.failedFuture(new IOException("connection reset"));
     }
     writeObserver.accept(bytes);
     send(bytes);
@@ -273,7 +273,7 @@
     closed = true;
     owner.closed(this);
     while (!pendingWrites.isEmpty()) {
-      pendingWrites.poll().fail(new IOException("closed"));
+      pendingWrites.poll().fail(new IOException("connection closed"));
     }
     closeHandler.accept(closeReason);
   }
--- a/src/main/java/pathgw/simulation/network/VirtualNetwork.java
+++ b/src/main/java/pathgw/simulation/network/VirtualNetwork.java
@@ -110,7 +110,7 @@
     events.scheduleAtNanos(atNanos, owner, action);
   }
 
-  /** Runs an action in a process at the current time, after all events already scheduled for it. */
+  /** Runs an action in a process at the current time, after all events that are already due. */
   public void runAfterDueEvents(VirtualProcess owner, Runnable action) {
     events.scheduleAtNanos(events.now(), owner, action);
   }
@@ -143,7 +143,8 @@
             timeoutNanos,
             client,
             () ->
-                promise.tryFail(new Transport.ConnectTimeoutException("no answer from " + target)));
+                promise.tryFail(
+                    new Transport.ConnectTimeoutException("connect timed out: " + target)));
     ConnectAttempt attempt = new ConnectAttempt(client, localHost, target, promise, timeout);
     events.scheduleAtNanos(arrivalNanos(), null, () -> deliverConnectAttempt(attempt));
     return promise.future();
@@ -166,7 +167,7 @@
 
     void refuse() {
       timeout.cancel();
-      promise.tryFail(new ConnectException("refused by " + target));
+      promise.tryFail(new ConnectException("connection refused by " + target));
     }
   }
 
--- a/src/main/java/pathgw/simulation/scenario/ScenarioFormat.java
+++ b/src/main/java/pathgw/simulation/scenario/ScenarioFormat.java
@@ -69,7 +69,7 @@
 
   private static Scenario parseLine(Scenario scenario, String[] words) {
     if (words.length != 2) {
-      throw new IllegalArgumentException("not one word and its value");
+      throw new IllegalArgumentException("expected one word and its value");
     }
     return switch (words[0]) {
       case MODE -> scenario.withMode(oneOf(words[1], Scenario.LOOK_ASIDE, Scenario.READ_THROUGH));
