--- a/src/test/java/pathgw/simulation/ForwardingConnection.java
+++ b/src/test/java/pathgw/simulation/ForwardingConnection.java
@@ -6,7 +6,7 @@
 import pathgw.config.Address;
 import pathgw.transport.Connection;
 
-/** Forwards every call to another connection; a test overrides what it changes. */
+/** Forwards every call to another connection; a test overrides the methods that it changes. */
 class ForwardingConnection implements Connection {
   final Connection delegate;
 
--- a/src/test/java/pathgw/simulation/MutatedTransport.java
+++ b/src/test/java/pathgw/simulation/MutatedTransport.java
@@ -9,7 +9,7 @@
 import pathgw.transport.Connection;
 import pathgw.transport.Transport;
 
-/** Forwards every call to a proxy's transport; a test replaces some of the connections. */
+/** Forwards every call to a proxy's transport; a test can replace the connections. */
 class MutatedTransport implements Transport {
   final Transport original;
 
@@ -17,12 +17,12 @@
     this.original = original;
   }
 
-  /** Replaces a connection that the proxy opened. */
+  /** Returns the connection that the proxy gets in place of one that it opened. */
   Connection opened(Connection connection, Address target) {
     return connection;
   }
 
-  /** Replaces a connection that the proxy accepted. */
+  /** Returns the connection that the proxy gets in place of one that it accepted. */
   Connection accepted(Connection connection) {
     return connection;
   }
--- a/src/test/java/pathgw/simulation/SeededBugTest.java
+++ b/src/test/java/pathgw/simulation/SeededBugTest.java
@@ -11,9 +11,12 @@
 import org.junit.jupiter.api.Test;
 import pathgw.simulation.cluster.Mutation;
 
-/** Bugs in how a proxy treats requests and resources; {@link SeededEndpointBugTest} has others. */
+/**
+ * Checks that the simulation detects seeded bugs in how a proxy handles requests and resources;
+ * {@link SeededEndpointBugTest} covers the endpoint list.
+ */
 class SeededBugTest {
-  /** Sends what was in flight on a broken connection once more, to the same target, later. */
+  /** Resends the request in flight on a broken connection to the same target after a delay. */
   private static Mutation resends(String requestClass, Duration delay) {
     return openedConnections(
         MutatedTransport::isNodeOrOrigin,
@@ -138,7 +141,8 @@
 
   @Test
   void overloadOfColdNodesIsDetected() {
-    // Starting at seed 0 it takes 614 seeds to find it, longer than a build should.
+    // From seed 0 on, the first failure is at seed 614, which would take longer than a build
+    // should.
     assertDetected(
         4,
         "cold",
@@ -154,7 +158,7 @@
         600);
   }
 
-  /** A response that ends with its connection is then taken for complete though it is not. */
+  /** The proxy takes a response that is cut off by a reset connection for a complete one. */
   @Test
   void connectionResetMistakenForEndOfStreamIsDetected() {
     assertDetected(
@@ -171,7 +175,10 @@
                 }));
   }
 
-  /** The proxy learns so late that the client has left that it retries a failed attempt. */
+  /**
+   * The proxy learns 600 ms late that the client has left, so it retries an attempt that failed in
+   * the meantime.
+   */
   @Test
   void lateNoticeOfClientDisconnectIsDetected() {
     assertDetected(
@@ -213,7 +220,7 @@
                 new ForwardingConnection(connection) {
                   @Override
                   public void onClose(Consumer<CloseReason> handler) {
-                    // The proxy never learns of the end.
+                    // The proxy is never notified of the close.
                   }
                 }));
   }
@@ -258,7 +265,9 @@
                 }));
   }
 
-  /** The label has the time that the client gave at first, whatever has passed since. */
+  /**
+   * The label sent to the origin keeps the client's initial timeout, however much time has passed.
+   */
   @Test
   void staleRemainingTimeInOriginRequestIsDetected() {
     assertDetected(
--- a/src/test/java/pathgw/simulation/SeededBugs.java
+++ b/src/test/java/pathgw/simulation/SeededBugs.java
@@ -14,14 +14,16 @@
 import pathgw.transport.Connection;
 import pathgw.transport.Transport;
 
-/** Seeds bugs into a proxy through its connections, and shows that the simulation detects them. */
+/**
+ * Seeds bugs into a proxy through its connections, and asserts that the simulation detects them.
+ */
 final class SeededBugs {
   private static final int MAX_SEEDS = 1000;
   private static final int MAX_SHRUNK_LINES = 12;
 
   private SeededBugs() {}
 
-  /** Replaces the connections that a proxy opens to some targets. */
+  /** Replaces the connections that a proxy opens to matching targets. */
   static Mutation openedConnections(
       Predicate<Address> targets,
       BiFunction<MutatedTransport, Connection, Connection> replacement) {
@@ -38,7 +40,7 @@
     };
   }
 
-  /** Replaces the connections of clients. */
+  /** Replaces the connections that a proxy accepts from clients. */
   static Mutation clientConnections(
       BiFunction<MutatedTransport, Connection, Connection> replacement) {
     return new Mutation() {
@@ -63,8 +65,8 @@
   }
 
   /**
-   * Asserts that some seed violates a rule with the bug, that the scenario is shrunk to a few lines
-   * which violate it alike, and that it violates nothing without the bug.
+   * Asserts that a seed violates the rule with the bug, that its scenario can be shrunk to a few
+   * lines with the same violation, and that the shrunk scenario violates no rule without the bug.
    */
   static void assertDetected(
       int rule, String kind, Mutation mutation, long firstSeed, LongFunction<Scenario> generator) {
--- a/src/test/java/pathgw/simulation/SeededEndpointBugTest.java
+++ b/src/test/java/pathgw/simulation/SeededEndpointBugTest.java
@@ -14,7 +14,10 @@
 import pathgw.simulation.scenario.Scenario;
 import pathgw.simulation.scenario.ScenarioGenerator;
 
-/** Bugs in how a proxy follows the endpoint list: each makes it use a node that is leaving. */
+/**
+ * Checks that the simulation detects seeded bugs in how a proxy follows the endpoint list: each
+ * makes it send requests to a node that is leaving.
+ */
 class SeededEndpointBugTest {
   private static final int RULE = 3;
   private static final String KIND = "drain";
@@ -38,7 +41,9 @@
                 }));
   }
 
-  /** Empty lines of its own making keep a proxy from seeing that its watch has fallen silent. */
+  /**
+   * Passes an empty line to the proxy every two seconds, so that it does not detect a silent watch.
+   */
   private static Mutation hidesSilentWatches() {
     return openedConnections(
         MutatedTransport::isDiscovery,
@@ -77,7 +82,7 @@
         });
   }
 
-  /** A rejected call is taken for a list in which nothing has changed. */
+  /** Replaces the rejection of a call by a list without changes. */
   private static Mutation treatsRejectionAsEmptyList() {
     String emptyList = "{\"seq\":0,\"whole\":false,\"hosts\":[]}\n";
     Buffer emptyResponse =
@@ -102,7 +107,10 @@
             });
   }
 
-  /** All watches are silent, and discovery cannot serve the polls of all proxies in time. */
+  /**
+   * All watches are silent, and discovery cannot answer the polls of all proxies before they count
+   * as notified.
+   */
   @Test
   void rejectedPollMistakenForNotificationIsDetected() {
     assertDetected(
@@ -118,7 +126,7 @@
                     + "at 9000ms list-silent by 1\nat 9600ms list-drains by 0.25"));
   }
 
-  /** Most calls fail, and the proxy keeps its lease on the list as if they had succeeded. */
+  /** Most calls fail, but the proxy renews its endpoint list lease as if they had succeeded. */
   @Test
   void failedPollMistakenForEndpointListIsDetected() {
     assertDetected(
--- a/src/test/java/pathgw/simulation/SimulationTest.java
+++ b/src/test/java/pathgw/simulation/SimulationTest.java
@@ -19,7 +19,10 @@
 import pathgw.simulation.scenario.Scenario;
 import pathgw.simulation.scenario.ScenarioGenerator;
 
-/** The unchanged proxy under seeded faults, and in every scenario that once violated a rule. */
+/**
+ * Runs the production code of the proxy under seeded faults, and in every scenario that once
+ * violated a rule.
+ */
 class SimulationTest {
   private static final int SEED_COUNT = 300;
   private static final int FLEET_COUNT = 12;
@@ -35,7 +38,10 @@
     }
   }
 
-  /** Some 80 proxies and 140 nodes each; the discovery calls are the sum over all proxies. */
+  /**
+   * The fleets have about 80 proxies and 140 nodes each. The discovery calls are summed over all
+   * proxies.
+   */
   @Test
   void largeFleetsViolateNoRuleAndDoNotOverloadDiscovery() throws InterruptedException {
     SeedRange.Result result =
