--- a/src/main/java/pathgw/simulation/ScenarioShrinker.java
+++ b/src/main/java/pathgw/simulation/ScenarioShrinker.java
@@ -34,6 +34,8 @@
           ScenarioParameter.TIPS,
           ScenarioParameter.MEMORY,
           ScenarioParameter.SOCKETS);
+
+  /** Node counts to try, in ascending order. */
   private static final List<Integer> NODE_COUNTS = List.of(1, 2, 3, 4, 6, 8, 12);
 
   private final Mutation mutation;
--- a/src/main/java/pathgw/simulation/SeedRange.java
+++ b/src/main/java/pathgw/simulation/SeedRange.java
@@ -72,11 +72,12 @@
   /** How many runs per thread are submitted ahead of the run whose result is awaited. */
   private static final int RUNS_AHEAD_PER_THREAD = 16;
 
+  /** How many failures of small clusters are shrunk. */
   private static final int MAX_SHRUNK_SCENARIOS = 8;
 
   /**
-   * Only one, since runs of large fleets take about a hundred times as long as those of small
-   * clusters.
+   * How many failures of large fleets are shrunk: their runs take about a hundred times as long as
+   * those of small clusters.
    */
   private static final int MAX_SHRUNK_FLEETS = 1;
 
--- a/src/main/java/pathgw/simulation/cluster/ClusterSettings.java
+++ b/src/main/java/pathgw/simulation/cluster/ClusterSettings.java
@@ -16,9 +16,16 @@
   /** A node or the origin closes a connection that has been idle for this long. */
   static final Duration CONNECTION_IDLE_LIMIT = Duration.ofSeconds(3);
 
+  /** How long after its deadline a request may still get a response. */
   static final Duration RESPONSE_SLACK = Duration.ofMillis(50);
+
+  /** How long after the notification a draining node may still get new requests. */
   static final Duration DRAIN_GRACE = Duration.ofMillis(500);
+
+  /** The most attempts of one request. */
   static final int MAX_ATTEMPTS = 4;
+
+  /** The number of failure domains over which the nodes are spread. */
   static final int FAILURE_DOMAINS = 3;
 
   private ClusterSettings() {}
--- a/src/main/java/pathgw/simulation/cluster/NodeLifecycle.java
+++ b/src/main/java/pathgw/simulation/cluster/NodeLifecycle.java
@@ -29,7 +29,7 @@
 
   private static final int NODE_SLOTS = 1;
   private static final int NODE_QUEUE_LENGTH = 24;
-  private static final int NODE_MAX_COPIES = 4096;
+  private static final int NODE_MAX_VALUES = 4096;
   private static final double MIN_SERVICE_SECONDS = 0.004;
   private static final double MAX_SERVICE_SECONDS = 0.06;
 
@@ -55,7 +55,10 @@
   private final FakeOrigin origin;
   private final FakeCacheNode.Parameters nodeParameters;
   private final Map<String, DedupMemory> dedupMemories = new LinkedHashMap<>();
+
+  /** The nodes at which a read missed, by request id, until the origin serves it. */
   private final Map<String, List<SimulatedNode>> missedNodesByRequestId = new LinkedHashMap<>();
+
   private int allocatedAddresses;
 
   NodeLifecycle(RunEnvironment environment, SimulatedDiscovery discovery) {
@@ -107,7 +110,7 @@
         ClusterSettings.WARM_UP_TIME,
         scenario.coldCrashMultiple(),
         ClusterSettings.OVERLOAD_WINDOW,
-        NODE_MAX_COPIES,
+        NODE_MAX_VALUES,
         scenario.readThrough() ? origin : null);
   }
 
--- a/src/main/java/pathgw/simulation/cluster/SimulatedProxy.java
+++ b/src/main/java/pathgw/simulation/cluster/SimulatedProxy.java
@@ -26,7 +26,9 @@
    */
   String lastKnownList;
 
+  /** The health of each host in {@link #lastKnownList}. */
   Map<String, String> lastKnownHealth = Map.of();
+
   long lastKnownVersion;
 
   SimulatedProxy(int number) {
--- a/src/main/java/pathgw/simulation/invariant/RequestInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/RequestInvariants.java
@@ -209,10 +209,11 @@
    *
    * @param waited the time until an error line or the disconnect came; null if neither did
    */
-  void invalidClientEnded(int proxy, String behavior, Duration waited, String response) {
+  void invalidClientEnded(int proxy, String malformedInput, Duration waited, String response) {
     if (ClientResponse.of(response).isServed()) {
       reportViolation(
-          "served-rude", "p" + proxy + " served an invalid command, " + behavior + ": " + response);
+          "served-rude",
+          "p" + proxy + " served an invalid command, " + malformedInput + ": " + response);
     }
     long waitStartNanos =
         run.nowNanos() - (waited == null ? UNANSWERED_WAIT_NANOS : waited.toNanos());
@@ -224,7 +225,7 @@
     if (!excused && tooLong) {
       reportViolation(
           "rude-alone",
-          "p" + proxy + " neither answered nor disconnected an invalid client, " + behavior);
+          "p" + proxy + " neither answered nor disconnected an invalid client, " + malformedInput);
     }
   }
 
--- a/src/main/java/pathgw/simulation/invariant/RequestRecord.java
+++ b/src/main/java/pathgw/simulation/invariant/RequestRecord.java
@@ -34,8 +34,12 @@
   /** When the client got its response, left, or lost its connection. */
   long endedAtNanos = NOT_ENDED;
 
+  /** How often a target applied the request, if it is a write. */
   int appliedWrites;
+
+  /** Whether a read missed at a node that was warming up. */
   boolean missedAtColdNode;
+
   boolean clientLeft;
   private long decidedAtNanos = NOT_DECIDED;
 
--- a/src/main/java/pathgw/simulation/network/VirtualConnection.java
+++ b/src/main/java/pathgw/simulation/network/VirtualConnection.java
@@ -44,11 +44,13 @@
    */
   private long lostAfterNanos = Long.MAX_VALUE;
 
-  private boolean wasFull;
+  /** Whether the write queue was full since the last call of the writable handler. */
+  private boolean writableEventPending;
 
   /** The number of bytes written here that the remote end has not read. */
   private long unreadByRemote;
 
+  /** When the last bytes sent here arrive at the remote end. */
   private long lastArrivalNanos;
 
   VirtualConnection(
@@ -138,7 +140,7 @@
       return;
     }
     unreadByRemote += bytes.length();
-    wasFull |= isWriteQueueFull();
+    writableEventPending |= isWriteQueueFull();
     int split = network.splitPosition(bytes.length());
     if (split > 0) {
       sendPiece(bytes.slice(0, split).copy());
@@ -181,8 +183,8 @@
       Promise<Void> written = pendingWrites.poll();
       network.runAfterDueEvents(owner, written::complete);
     }
-    if (wasFull && unreadByRemote <= WRITE_QUEUE_FULL_BYTES / 2) {
-      wasFull = false;
+    if (writableEventPending && unreadByRemote <= WRITE_QUEUE_FULL_BYTES / 2) {
+      writableEventPending = false;
       network.runAfterDueEvents(owner, () -> writableHandler.run());
     }
   }
--- a/src/main/java/pathgw/simulation/scenario/ScenarioGenerator.java
+++ b/src/main/java/pathgw/simulation/scenario/ScenarioGenerator.java
@@ -44,9 +44,9 @@
     double invalidClients = random.nextInt(3) == 0 ? 2 : 0;
     int warmUpRounds = random.nextInt(16) == 0 ? 6 : random.nextInt(4) == 0 ? 1 : 0;
     // Few nodes under many requests: cold nodes can be overloaded only in such clusters.
-    boolean dense = random.nextInt(4) == 0;
-    nodes = dense ? 3 + nodes / 8 : nodes;
-    double rate = dense ? 60 + random.nextInt(80) : 10 + 8 * proxies + random.nextInt(40);
+    boolean highLoadPerNode = random.nextInt(4) == 0;
+    nodes = highLoadPerNode ? 3 + nodes / 8 : nodes;
+    double rate = highLoadPerNode ? 60 + random.nextInt(80) : 10 + 8 * proxies + random.nextInt(40);
     Scenario shape =
         new Scenario(
             /* seed= */ 0,
--- a/src/test/java/pathgw/simulation/SeededBugTest.java
+++ b/src/test/java/pathgw/simulation/SeededBugTest.java
@@ -17,7 +17,7 @@
  */
 class SeededBugTest {
   /** Resends the request in flight on a broken connection to the same target after a delay. */
-  private static Mutation resends(String requestClass, Duration delay) {
+  private static Mutation resendAfterDisconnect(String requestClass, Duration delay) {
     return openedConnections(
         MutatedTransport::isNodeOrOrigin,
         (transport, connection) ->
@@ -64,12 +64,12 @@
 
   @Test
   void resentAtMostOnceRequestIsDetected() {
-    assertDetected(2, "resend", resends("book", Duration.ofMillis(1)));
+    assertDetected(2, "resend", resendAfterDisconnect("book", Duration.ofMillis(1)));
   }
 
   @Test
   void idempotencyKeyedRetryAfterDedupWindowIsDetected() {
-    assertDetected(2, "resend", resends("hold", Duration.ofMillis(1050)));
+    assertDetected(2, "resend", resendAfterDisconnect("hold", Duration.ofMillis(1050)));
   }
 
   @Test
