--- a/src/main/java/pathgw/simulation/network/VirtualConnection.java
+++ b/src/main/java/pathgw/simulation/network/VirtualConnection.java
@@ -22,6 +22,9 @@
   /** From this many unread bytes on, the write queue counts as full. */
   private static final int WRITE_QUEUE_FULL_BYTES = 1 << 16;
 
+  /** The writable handler runs once a full write queue has fallen to this many unread bytes. */
+  private static final int WRITABLE_AGAIN_BYTES = WRITE_QUEUE_FULL_BYTES / 2;
+
   private final VirtualNetwork network;
   private final VirtualProcess owner;
   private final Address localAddress;
@@ -183,7 +186,7 @@
       Promise<Void> written = pendingWrites.poll();
       network.runAfterDueEvents(owner, written::complete);
     }
-    if (writableEventPending && unreadByRemote <= WRITE_QUEUE_FULL_BYTES / 2) {
+    if (writableEventPending && unreadByRemote <= WRITABLE_AGAIN_BYTES) {
       writableEventPending = false;
       network.runAfterDueEvents(owner, () -> writableHandler.run());
     }
--- a/src/main/java/pathgw/simulation/scenario/ScenarioGenerator.java
+++ b/src/main/java/pathgw/simulation/scenario/ScenarioGenerator.java
@@ -13,6 +13,9 @@
  * <p>The draws and their order must not change, so that a seed always gives the same scenario.
  */
 public final class ScenarioGenerator {
+  /** Spreads consecutive seeds over the states of the random generator. */
+  private static final long SEED_MULTIPLIER = 0x9E3779B97F4A7C15L;
+
   private static final long DURATION_MS = 20_000;
 
   /**
@@ -28,7 +31,7 @@
   private final Random random;
 
   private ScenarioGenerator(long seed) {
-    random = new Random(seed * 0x9E3779B97F4A7C15L + 1);
+    random = new Random(seed * SEED_MULTIPLIER + 1);
   }
 
   /** Draws a small cluster with faults of any kind. */
