--- a/src/main/java/pathgw/fake/server/FakeCacheNode.java
+++ b/src/main/java/pathgw/fake/server/FakeCacheNode.java
@@ -24,8 +24,8 @@
    * @param queueLength how many requests may wait
    * @param maxConnections how many connections it accepts
    * @param idleTimeout how long a connection may stand idle
-   * @param coldCapacityShare the share of its capacity that it starts with
-   * @param warmUp how long it warms up, its capacity growing evenly
+   * @param initialCapacityFraction the share of its capacity that it starts with
+   * @param warmUpDuration how long it warms up, its capacity growing evenly
    * @param crashMultiple a node that warms up crashes when it receives more than this multiple of
    *     its capacity for {@code overloadWindow}
    * @param maxValues how many values it stores
@@ -37,8 +37,8 @@
       int queueLength,
       int maxConnections,
       Duration idleTimeout,
-      double coldCapacityShare,
-      Duration warmUp,
+      double initialCapacityFraction,
+      Duration warmUpDuration,
       double crashMultiple,
       Duration overloadWindow,
       int maxValues,
@@ -52,7 +52,7 @@
   private static final double OVERLOAD_SLACK_REQUESTS = 2;
 
   private final Parameters parameters;
-  private final Duration coldSince;
+  private final Duration warmUpStart;
   private final DedupMemory memory;
   private final OverloadWindow load;
   private final Runnable crash;
@@ -62,7 +62,7 @@
   /**
    * Creates an empty node.
    *
-   * @param coldSince when it started; null for a node that is warm already
+   * @param warmUpStart when it started; null for a node that is warm already
    * @param memory of idempotency keys, shared with the nodes of its group
    * @param crash ends this node for good
    */
@@ -73,12 +73,12 @@
       BackendObserver observer,
       FaultInjection faults,
       Parameters parameters,
-      Duration coldSince,
+      Duration warmUpStart,
       DedupMemory memory,
       Runnable crash) {
     super(name, clock, random, observer, faults, parameters.limits());
     this.parameters = parameters;
-    this.coldSince = coldSince;
+    this.warmUpStart = warmUpStart;
     this.memory = memory;
     this.crash = crash;
     load =
@@ -108,17 +108,19 @@
 
   /** Whether the node is still warming up. */
   public boolean isCold() {
-    return coldSince != null && clock.now().minus(coldSince).compareTo(parameters.warmUp()) < 0;
+    return warmUpStart != null
+        && clock.now().minus(warmUpStart).compareTo(parameters.warmUpDuration()) < 0;
   }
 
   /** The share of its capacity that it has at present, 0 to 1. */
-  private double warmth() {
+  private double capacityFraction() {
     if (!isCold()) {
       return 1;
     }
-    double gained = 1 - parameters.coldCapacityShare();
-    long elapsedNanos = clock.now().minus(coldSince).toNanos();
-    return parameters.coldCapacityShare() + gained * elapsedNanos / parameters.warmUp().toNanos();
+    double gained = 1 - parameters.initialCapacityFraction();
+    long elapsedNanos = clock.now().minus(warmUpStart).toNanos();
+    return parameters.initialCapacityFraction()
+        + gained * elapsedNanos / parameters.warmUpDuration().toNanos();
   }
 
   /** Finishes the requests that it has and rejects all others. */
@@ -148,7 +150,7 @@
 
   @Override
   double slowdown() {
-    return faults.slowdownFactor / warmth();
+    return faults.slowdownFactor / capacityFraction();
   }
 
   @Override
@@ -167,7 +169,7 @@
       return true;
     }
     load.add(clock.now(), from, request.id());
-    double capacity = limits.requestsPerSecond() * warmth();
+    double capacity = limits.requestsPerSecond() * capacityFraction();
     double limit = parameters.crashMultiple() * capacity;
     observer.coldNodeLoad(load.utilization(limit));
     if (!load.exceeds(limit)) {
