--- a/src/main/java/pathgw/fake/discovery/FakeDiscovery.java
+++ b/src/main/java/pathgw/fake/discovery/FakeDiscovery.java
@@ -26,7 +26,7 @@
   private final Set<DiscoveryConnection> connections = new LinkedHashSet<>();
   private final Map<String, Duration> silentSince = new LinkedHashMap<>();
   private boolean down;
-  private double refusedShare;
+  private double refusalProbability;
   private Duration maxDelay = Duration.ZERO;
 
   /** Creates a service with an empty list. */
@@ -75,13 +75,13 @@
   }
 
   /** Sets the share of calls that are rejected or reset, 0 to 1. */
-  public void setRefusedShare(double refusedShare) {
-    this.refusedShare = refusedShare;
+  public void setRefusalProbability(double refusalProbability) {
+    this.refusalProbability = refusalProbability;
   }
 
   /** Draws whether a call is refused; draws nothing while none is. */
   boolean drawRefusal() {
-    return refusedShare > 0 && random.nextDouble() < refusedShare;
+    return refusalProbability > 0 && random.nextDouble() < refusalProbability;
   }
 
   /**
--- a/src/main/java/pathgw/fake/server/FakeCacheNode.java
+++ b/src/main/java/pathgw/fake/server/FakeCacheNode.java
@@ -184,7 +184,7 @@
   void execute(Request request, PendingReply reply) {
     // Looked up also where the request then fails: the lookup counts as a use of the key.
     Integer version = storedVersions.get(request.key());
-    if (happens(faults.errorShare)) {
+    if (drawFault(faults.errorProbability)) {
       reply.send(failure());
     } else if (request.write()) {
       writeThrough(request, reply);
--- a/src/main/java/pathgw/fake/server/FakeOrigin.java
+++ b/src/main/java/pathgw/fake/server/FakeOrigin.java
@@ -174,7 +174,7 @@
 
   @Override
   void execute(Request request, PendingReply reply) {
-    if (happens(faults.errorShare)) {
+    if (drawFault(faults.errorProbability)) {
       reply.send(failure());
     } else if (request.write()) {
       completeWrite(request, reply, applyWrite(request));
--- a/src/main/java/pathgw/fake/server/FakeServer.java
+++ b/src/main/java/pathgw/fake/server/FakeServer.java
@@ -142,13 +142,13 @@
   }
 
   /** Draws whether a fault happens; draws nothing while its share is zero. */
-  final boolean happens(double share) {
-    return share > 0 && random.nextDouble() < share;
+  final boolean drawFault(double probability) {
+    return probability > 0 && random.nextDouble() < probability;
   }
 
   /** Rejects a request or takes it on. */
   final void handle(Request request, PendingReply reply) {
-    if (rejectsAll() || happens(faults.rejectedShare)) {
+    if (rejectsAll() || drawFault(faults.rejectionProbability)) {
       reject(request, reply);
     } else if (survivesArrival(request, reply.from())) {
       // The arrival may have overloaded the server.
--- a/src/main/java/pathgw/fake/server/FaultInjection.java
+++ b/src/main/java/pathgw/fake/server/FaultInjection.java
@@ -9,20 +9,20 @@
   public double slowdownFactor = 1;
 
   /** Requests that run and are answered with an error. */
-  public double errorShare;
+  public double errorProbability;
 
   /** Requests that are rejected without running. */
-  public double rejectedShare;
+  public double rejectionProbability;
 
   /** Requests whose connection is reset after the command arrived, before or after it runs. */
-  public double resetShare;
+  public double resetProbability;
 
   /** Requests whose connection is closed when the command arrives; it does not run. */
-  public double closedShare;
+  public double closeProbability;
 
   /** Replies replaced by invalid bytes: noise, another request's id, cut short or endless. */
-  public double corruptReplyShare;
+  public double corruptReplyProbability;
 
   /** Valid replies that are followed by bytes nobody asked for. */
-  public double extraBytesShare;
+  public double extraBytesProbability;
 }
--- a/src/main/java/pathgw/fake/server/ServerConnection.java
+++ b/src/main/java/pathgw/fake/server/ServerConnection.java
@@ -92,12 +92,12 @@
 
   private void request(Request request) {
     usedAt = clock.now();
-    if (server.happens(faults.closedShare)) {
+    if (server.drawFault(faults.closeProbability)) {
       server.observer.requestRejected(server.name, request);
       close();
       return;
     }
-    boolean resets = server.happens(faults.resetShare);
+    boolean resets = server.drawFault(faults.resetProbability);
     if (resets && random.nextBoolean()) {
       reset();
       return;
@@ -124,9 +124,9 @@
   }
 
   private void send(Buffer reply) {
-    if (server.happens(faults.corruptReplyShare)) {
+    if (server.drawFault(faults.corruptReplyProbability)) {
       side.write(server.corrupt(reply));
-    } else if (server.happens(faults.extraBytesShare) && pending.isEmpty()) {
+    } else if (server.drawFault(faults.extraBytesProbability) && pending.isEmpty()) {
       side.write(reply.copy().appendBuffer(random.nextBoolean() ? reply : EXTRA_BYTES));
     } else {
       side.write(reply);
@@ -134,7 +134,7 @@
   }
 
   private void sendAndEnd(Buffer reply) {
-    if (server.happens(faults.resetShare)) {
+    if (server.drawFault(faults.resetProbability)) {
       side.write(reply.slice(0, reply.length() - CUT_BYTES));
       clock.schedule(RESET_AFTER_CUT_REPLY, side::reset);
     } else {
--- a/src/main/java/pathgw/simulation/DiscoveryFaults.java
+++ b/src/main/java/pathgw/simulation/DiscoveryFaults.java
@@ -35,7 +35,7 @@
         discovery.markUnreachable(fault);
         timer.apply(fault, () -> service.setDown(true), () -> service.setDown(false));
       }
-      case LIST_REFUSES -> timer.apply(fault, service::setRefusedShare, 0);
+      case LIST_REFUSES -> timer.apply(fault, service::setRefusalProbability, 0);
       case LIST_ENDS -> service.closeConnections();
       case LIST_SILENT -> discovery.silenceWatches(fault.magnitude());
       case LIST_DRAINS -> listAsDraining(fault);
--- a/src/main/java/pathgw/simulation/FaultInjector.java
+++ b/src/main/java/pathgw/simulation/FaultInjector.java
@@ -81,9 +81,9 @@
     FaultInjection origin = cluster.nodes().originFaults();
     switch (fault.kind()) {
       case ORIGIN_SLOW -> timer.apply(fault, factor -> origin.slowdownFactor = factor, 1);
-      case ORIGIN_FAILS -> timer.apply(fault, share -> origin.errorShare = share, 0);
-      case ORIGIN_SPOILS -> timer.apply(fault, share -> origin.corruptReplyShare = share, 0);
-      case ORIGIN_RESETS -> timer.apply(fault, share -> origin.resetShare = share, 0);
+      case ORIGIN_FAILS -> timer.apply(fault, share -> origin.errorProbability = share, 0);
+      case ORIGIN_SPOILS -> timer.apply(fault, share -> origin.corruptReplyProbability = share, 0);
+      case ORIGIN_RESETS -> timer.apply(fault, share -> origin.resetProbability = share, 0);
       default -> throw new IllegalArgumentException("not a fault of the origin: " + fault);
     }
   }
--- a/src/main/java/pathgw/simulation/NodeFaults.java
+++ b/src/main/java/pathgw/simulation/NodeFaults.java
@@ -85,12 +85,12 @@
   private void injectInRequests(Fault fault, FaultInjection node) {
     switch (fault.kind()) {
       case SLOW -> timer.apply(fault, factor -> node.slowdownFactor = factor, 1);
-      case RESETS -> timer.apply(fault, share -> node.resetShare = share, 0);
-      case CLOSES -> timer.apply(fault, share -> node.closedShare = share, 0);
-      case SPOILS -> timer.apply(fault, share -> node.corruptReplyShare = share, 0);
-      case BABBLES -> timer.apply(fault, share -> node.extraBytesShare = share, 0);
-      case FAILS -> timer.apply(fault, share -> node.errorShare = share, 0);
-      case BUSY -> timer.apply(fault, share -> node.rejectedShare = share, 0);
+      case RESETS -> timer.apply(fault, share -> node.resetProbability = share, 0);
+      case CLOSES -> timer.apply(fault, share -> node.closeProbability = share, 0);
+      case SPOILS -> timer.apply(fault, share -> node.corruptReplyProbability = share, 0);
+      case BABBLES -> timer.apply(fault, share -> node.extraBytesProbability = share, 0);
+      case FAILS -> timer.apply(fault, share -> node.errorProbability = share, 0);
+      case BUSY -> timer.apply(fault, share -> node.rejectionProbability = share, 0);
       default -> throw new IllegalArgumentException("not a fault of a node: " + fault);
     }
   }
