--- a/src/main/java/pathgw/fake/server/FakeCacheNode.java
+++ b/src/main/java/pathgw/fake/server/FakeCacheNode.java
@@ -149,7 +149,7 @@
   }
 
   @Override
-  double slowdown() {
+  double serviceTimeFactor() {
     return faults.slowdownFactor / capacityFraction();
   }
 
--- a/src/main/java/pathgw/fake/server/FakeOrigin.java
+++ b/src/main/java/pathgw/fake/server/FakeOrigin.java
@@ -150,7 +150,7 @@
   }
 
   @Override
-  double slowdown() {
+  double serviceTimeFactor() {
     return faults.slowdownFactor;
   }
 
--- a/src/main/java/pathgw/fake/server/FakeServer.java
+++ b/src/main/java/pathgw/fake/server/FakeServer.java
@@ -61,7 +61,7 @@
     this.observer = observer;
     this.faults = faults;
     this.limits = limits;
-    workers = new WorkerQueue(clock, random, limits, this::slowdown);
+    workers = new WorkerQueue(clock, random, limits, this::serviceTimeFactor);
   }
 
   /**
@@ -90,7 +90,7 @@
   abstract RequestReader reader(Consumer<Request> request, Runnable unreadable);
 
   /** How many times its usual time work takes at present. */
-  abstract double slowdown();
+  abstract double serviceTimeFactor();
 
   /** Whether the server rejects every request at present. */
   abstract boolean rejectsAll();
--- a/src/main/java/pathgw/fake/server/WorkerQueue.java
+++ b/src/main/java/pathgw/fake/server/WorkerQueue.java
@@ -11,20 +11,20 @@
   private final Clock clock;
   private final Random random;
   private final ServerLimits limits;
-  private final DoubleSupplier slowdown;
+  private final DoubleSupplier serviceTimeFactor;
   private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
   private int busyWorkers;
 
   /**
    * Creates idle workers.
    *
-   * @param slowdown how many times its usual time work takes at present
+   * @param serviceTimeFactor how many times its usual time work takes at present
    */
-  WorkerQueue(Clock clock, Random random, ServerLimits limits, DoubleSupplier slowdown) {
+  WorkerQueue(Clock clock, Random random, ServerLimits limits, DoubleSupplier serviceTimeFactor) {
     this.clock = clock;
     this.random = random;
     this.limits = limits;
-    this.slowdown = slowdown;
+    this.serviceTimeFactor = serviceTimeFactor;
   }
 
   /** Whether all workers are busy and the queue is full. */
@@ -61,7 +61,7 @@
   /** Half the mean and an exponential rest: most work takes about the mean, some several times. */
   private Duration drawServiceTime() {
     double factor = 0.5 - Math.log(1 - random.nextDouble()) / 2;
-    long nanos = (long) (limits.serviceTime().toNanos() * factor * slowdown.getAsDouble());
+    long nanos = (long) (limits.serviceTime().toNanos() * factor * serviceTimeFactor.getAsDouble());
     return Duration.ofNanos(nanos);
   }
 }
