--- a/src/main/java/pathgw/fake/BackendObserver.java
+++ b/src/main/java/pathgw/fake/BackendObserver.java
@@ -11,10 +11,10 @@
    * One arrival in the window in which a server was overloaded.
    *
    * @param atNanos since the start of the run
-   * @param from the proxy
+   * @param proxyName the proxy
    * @param id of the request
    */
-  record Arrival(long atNanos, String from, String id) {}
+  record Arrival(long atNanos, String proxyName, String id) {}
 
   /**
    * A server has taken a request on: it runs, or will.
--- a/src/main/java/pathgw/fake/discovery/DiscoveryConnection.java
+++ b/src/main/java/pathgw/fake/discovery/DiscoveryConnection.java
@@ -22,7 +22,7 @@
   private final Random random;
   private final BackendObserver observer;
   private final EndpointHistory history;
-  private final String from;
+  private final String proxyName;
   private final ConnectionSide side;
   private final RecordCutter cutter = new RecordCutter(this::line);
 
@@ -38,20 +38,20 @@
   /**
    * Takes over a connection.
    *
-   * @param from the proxy
+   * @param proxyName the proxy
    */
-  DiscoveryConnection(FakeDiscovery discovery, String from, ConnectionSide side) {
+  DiscoveryConnection(FakeDiscovery discovery, String proxyName, ConnectionSide side) {
     this.discovery = discovery;
     clock = discovery.clock;
     random = discovery.random;
     observer = discovery.observer;
     history = discovery.history;
-    this.from = from;
+    this.proxyName = proxyName;
     this.side = side;
   }
 
-  String from() {
-    return from;
+  String proxyName() {
+    return proxyName;
   }
 
   /** Whether it is a watch that still sends. */
@@ -107,7 +107,7 @@
       refuse();
       return;
     }
-    discovery.heard(from);
+    discovery.heard(proxyName);
     if (requested.contains(WATCH_PARAMETER)) {
       startWatch(requested);
     } else {
@@ -171,7 +171,8 @@
     if (history.hasChangesSince(sentVersion)) {
       List<EndpointEntry> missed = history.changes(sentVersion, upTo);
       chunk(EndpointHistory.changesJson(upTo, missed) + "\n");
-      missed.forEach(entry -> observer.endpointNotified(from, entry.host(), entry.health(), upTo));
+      missed.forEach(
+          entry -> observer.endpointNotified(proxyName, entry.host(), entry.health(), upTo));
       sentVersion = upTo;
     } else {
       chunk(history.completeJson() + "\n");
@@ -182,8 +183,10 @@
 
   private void reportCompleteList() {
     long version = history.version();
-    history.entries().forEach(e -> observer.endpointNotified(from, e.host(), e.health(), version));
-    observer.endpointNotified(from, "", "", version);
+    history
+        .entries()
+        .forEach(e -> observer.endpointNotified(proxyName, e.host(), e.health(), version));
+    observer.endpointNotified(proxyName, "", "", version);
   }
 
   private void chunk(String text) {
--- a/src/main/java/pathgw/fake/discovery/FakeDiscovery.java
+++ b/src/main/java/pathgw/fake/discovery/FakeDiscovery.java
@@ -106,7 +106,7 @@
     for (DiscoveryConnection connection : connections) {
       if (connection.sendsChanges() && random.nextDouble() < share) {
         connection.silence();
-        silentSince.put(connection.from(), clock.now());
+        silentSince.put(connection.proxyName(), clock.now());
       }
     }
   }
@@ -137,14 +137,14 @@
   /**
    * Takes a connection.
    *
-   * @param from the proxy that connects
+   * @param proxyName the proxy that connects
    * @return the handler of the connection, or null while the service is down
    */
-  public ConnectionHandler accept(String from, ConnectionSide side) {
+  public ConnectionHandler accept(String proxyName, ConnectionSide side) {
     if (down) {
       return null;
     }
-    DiscoveryConnection connection = new DiscoveryConnection(this, from, side);
+    DiscoveryConnection connection = new DiscoveryConnection(this, proxyName, side);
     connections.add(connection);
     return connection;
   }
--- a/src/main/java/pathgw/fake/server/FakeCacheNode.java
+++ b/src/main/java/pathgw/fake/server/FakeCacheNode.java
@@ -164,11 +164,11 @@
   }
 
   @Override
-  boolean survivesArrival(Request request, String from) {
+  boolean survivesArrival(Request request, String proxyName) {
     if (!isCold()) {
       return true;
     }
-    load.add(clock.now(), from, request.id());
+    load.add(clock.now(), proxyName, request.id());
     double capacity = limits.requestsPerSecond() * capacityFraction();
     double limit = parameters.crashMultiple() * capacity;
     observer.coldNodeLoad(load.utilization(limit));
@@ -219,7 +219,7 @@
         .origin()
         .read(
             request,
-            reply.from(),
+            reply.proxyName(),
             version -> {
               if (version != FakeOrigin.READ_FAILED) {
                 store(request.key(), version);
--- a/src/main/java/pathgw/fake/server/FakeOrigin.java
+++ b/src/main/java/pathgw/fake/server/FakeOrigin.java
@@ -101,8 +101,8 @@
     return clock.now().compareTo(downUntil) < 0;
   }
 
-  private void countRead(Request request, String from) {
-    load.add(clock.now(), from, request.id());
+  private void countRead(Request request, String proxyName) {
+    load.add(clock.now(), proxyName, request.id());
     double limit = parameters.overloadMultiple() * limits.requestsPerSecond();
     if (parameters.overloadMultiple() > 0 && !down() && load.exceeds(limit)) {
       observer.originWentDown(load.arrivals());
@@ -115,8 +115,8 @@
    *
    * @param version receives the version, or {@link #READ_FAILED}
    */
-  void read(Request request, String from, IntConsumer version) {
-    countRead(request, from);
+  void read(Request request, String proxyName, IntConsumer version) {
+    countRead(request, proxyName);
     if (down() || workers.full()) {
       clock.schedule(FAILURE_DELAY, () -> version.accept(READ_FAILED));
     } else {
@@ -165,9 +165,9 @@
   }
 
   @Override
-  boolean survivesArrival(Request request, String from) {
+  boolean survivesArrival(Request request, String proxyName) {
     if (!request.write()) {
-      countRead(request, from);
+      countRead(request, proxyName);
     }
     return true;
   }
--- a/src/main/java/pathgw/fake/server/FakeServer.java
+++ b/src/main/java/pathgw/fake/server/FakeServer.java
@@ -67,15 +67,15 @@
   /**
    * Takes a connection.
    *
-   * @param from the proxy that connects
+   * @param proxyName the proxy that connects
    * @return the handler of the connection, or null where the server accepts no more
    */
-  public final ConnectionHandler accept(String from, ConnectionSide side) {
+  public final ConnectionHandler accept(String proxyName, ConnectionSide side) {
     if (connections >= limits.maxConnections()) {
       return null;
     }
     connections++;
-    return new ServerConnection(this, from, side);
+    return new ServerConnection(this, proxyName, side);
   }
 
   final void connectionEnded() {
@@ -100,7 +100,7 @@
    *
    * @return false where the server crashed of it
    */
-  abstract boolean survivesArrival(Request request, String from);
+  abstract boolean survivesArrival(Request request, String proxyName);
 
   /** The memory of idempotency keys that this server uses. */
   abstract DedupMemory memory();
@@ -150,7 +150,7 @@
   final void handle(Request request, PendingReply reply) {
     if (rejectsAll() || drawFault(faults.rejectionProbability)) {
       reject(request, reply);
-    } else if (survivesArrival(request, reply.from())) {
+    } else if (survivesArrival(request, reply.proxyName())) {
       // The arrival may have overloaded the server.
       if (rejectsAll() || workers.full()) {
         reject(request, reply);
--- a/src/main/java/pathgw/fake/server/OverloadWindow.java
+++ b/src/main/java/pathgw/fake/server/OverloadWindow.java
@@ -31,12 +31,12 @@
   }
 
   /** Adds an arrival and removes those that have left the window. */
-  void add(Duration now, String from, String requestId) {
+  void add(Duration now, String proxyName, String requestId) {
     long windowStart = now.minus(window).toNanos();
     while (!arrivals.isEmpty() && arrivals.peek().atNanos() < windowStart) {
       arrivals.poll();
     }
-    arrivals.add(new BackendObserver.Arrival(now.toNanos(), from, requestId));
+    arrivals.add(new BackendObserver.Arrival(now.toNanos(), proxyName, requestId));
   }
 
   /** Whether more has arrived than a limit permits, slack included. */
--- a/src/main/java/pathgw/fake/server/PendingReply.java
+++ b/src/main/java/pathgw/fake/server/PendingReply.java
@@ -34,7 +34,7 @@
   }
 
   /** The proxy whose request it is. */
-  String from() {
-    return connection.from();
+  String proxyName() {
+    return connection.proxyName();
   }
 }
--- a/src/main/java/pathgw/fake/server/ServerConnection.java
+++ b/src/main/java/pathgw/fake/server/ServerConnection.java
@@ -27,7 +27,7 @@
   private final Clock clock;
   private final Random random;
   private final FaultInjection faults;
-  private final String from;
+  private final String proxyName;
   private final ConnectionSide side;
   private final RequestReader requests;
   private final ArrayDeque<PendingReply> pending = new ArrayDeque<>();
@@ -37,22 +37,22 @@
   /**
    * Takes over a connection.
    *
-   * @param from the proxy
+   * @param proxyName the proxy
    */
-  ServerConnection(FakeServer server, String from, ConnectionSide side) {
+  ServerConnection(FakeServer server, String proxyName, ConnectionSide side) {
     this.server = server;
     clock = server.clock;
     random = server.random;
     faults = server.faults;
-    this.from = from;
+    this.proxyName = proxyName;
     this.side = side;
     requests = server.reader(this::request, this::unreadable);
     usedAt = clock.now();
     closeIfIdle();
   }
 
-  String from() {
-    return from;
+  String proxyName() {
+    return proxyName;
   }
 
   private void closeIfIdle() {
--- a/src/main/java/pathgw/simulation/invariant/OverloadInvariants.java
+++ b/src/main/java/pathgw/simulation/invariant/OverloadInvariants.java
@@ -33,7 +33,7 @@
   void coldNodeOverloaded(String node, List<Arrival> arrivals) {
     long fromNotifiedProxies =
         arrivals.stream()
-            .filter(arrival -> endpoints.hasBeenNotified(arrival.from(), node))
+            .filter(arrival -> endpoints.hasBeenNotified(arrival.proxyName(), node))
             .count();
     run.event(
         arrivals.size(), () -> node + " overloaded while cold: " + arrivals.size() + " requests");
