--- a/src/main/java/pathgw/fake/server/FakeCacheNode.java
+++ b/src/main/java/pathgw/fake/server/FakeCacheNode.java
@@ -53,8 +53,8 @@
 
   private final Parameters parameters;
   private final Duration warmUpStart;
-  private final DedupMemory memory;
-  private final OverloadWindow load;
+  private final DedupMemory dedupMemory;
+  private final OverloadWindow recentArrivals;
   private final Runnable crash;
   private final Map<String, Integer> storedVersions;
   private boolean draining;
@@ -63,7 +63,7 @@
    * Creates an empty node.
    *
    * @param warmUpStart when it started; null for a node that is warm already
-   * @param memory of idempotency keys, shared with the nodes of its group
+   * @param dedupMemory of idempotency keys, shared with the nodes of its group
    * @param crash ends this node for good
    */
   public FakeCacheNode(
@@ -74,14 +74,14 @@
       FaultInjection faults,
       Parameters parameters,
       Duration warmUpStart,
-      DedupMemory memory,
+      DedupMemory dedupMemory,
       Runnable crash) {
     super(name, clock, random, observer, faults, parameters.limits());
     this.parameters = parameters;
     this.warmUpStart = warmUpStart;
-    this.memory = memory;
+    this.dedupMemory = dedupMemory;
     this.crash = crash;
-    load =
+    recentArrivals =
         new OverloadWindow(
             parameters.overloadWindow(), OVERLOAD_SLACK_ROOTS, OVERLOAD_SLACK_REQUESTS);
     storedVersions = new LeastRecentlyUsedMap(parameters.maxValues());
@@ -144,7 +144,7 @@
   }
 
   @Override
-  RequestReader reader(Consumer<Request> request, Runnable unreadable) {
+  RequestReader createReader(Consumer<Request> request, Runnable unreadable) {
     return RequestReader.meta(request, unreadable);
   }
 
@@ -159,23 +159,23 @@
   }
 
   @Override
-  DedupMemory memory() {
-    return memory;
+  DedupMemory dedupMemory() {
+    return dedupMemory;
   }
 
   @Override
-  boolean survivesArrival(Request request, String proxyName) {
+  boolean recordArrival(Request request, String proxyName) {
     if (!isCold()) {
       return true;
     }
-    load.add(clock.now(), proxyName, request.id());
+    recentArrivals.add(clock.now(), proxyName, request.id());
     double capacity = limits.requestsPerSecond() * capacityFraction();
     double limit = parameters.crashMultiple() * capacity;
-    observer.coldNodeLoad(load.utilization(limit));
-    if (!load.exceeds(limit)) {
+    observer.coldNodeLoad(recentArrivals.utilization(limit));
+    if (!recentArrivals.exceeds(limit)) {
       return true;
     }
-    observer.coldNodeCrashed(name, load.arrivals());
+    observer.coldNodeCrashed(name, recentArrivals.arrivals());
     crash.run();
     return false;
   }
--- a/src/main/java/pathgw/fake/server/FakeOrigin.java
+++ b/src/main/java/pathgw/fake/server/FakeOrigin.java
@@ -67,12 +67,12 @@
   private static final int RECEIPT_RADIX = 36;
 
   private final Parameters parameters;
-  private final CacheListener caches;
-  private final DedupMemory memory;
-  private final OverloadWindow load;
+  private final CacheListener cacheListener;
+  private final DedupMemory dedupMemory;
+  private final OverloadWindow recentArrivals;
   private final Map<String, Integer> versions = new TreeMap<>();
   private Duration downUntil = Duration.ZERO;
-  private long receipts;
+  private long receiptCount;
 
   /** Creates an origin in which every key has version 0. */
   public FakeOrigin(
@@ -82,12 +82,12 @@
       BackendObserver observer,
       FaultInjection faults,
       Parameters parameters,
-      CacheListener caches) {
+      CacheListener cacheListener) {
     super(name, clock, random, observer, faults, parameters.limits());
     this.parameters = parameters;
-    this.caches = caches;
-    memory = new DedupMemory(parameters.keyRetention());
-    load =
+    this.cacheListener = cacheListener;
+    dedupMemory = new DedupMemory(parameters.keyRetention());
+    recentArrivals =
         new OverloadWindow(
             parameters.overloadWindow(), OVERLOAD_SLACK_ROOTS, OVERLOAD_SLACK_REQUESTS);
   }
@@ -102,10 +102,10 @@
   }
 
   private void countRead(Request request, String proxyName) {
-    load.add(clock.now(), proxyName, request.id());
+    recentArrivals.add(clock.now(), proxyName, request.id());
     double limit = parameters.overloadMultiple() * limits.requestsPerSecond();
-    if (parameters.overloadMultiple() > 0 && !down() && load.exceeds(limit)) {
-      observer.originWentDown(load.arrivals());
+    if (parameters.overloadMultiple() > 0 && !down() && recentArrivals.exceeds(limit)) {
+      observer.originWentDown(recentArrivals.arrivals());
       downUntil = clock.now().plus(parameters.downTime());
     }
   }
@@ -139,13 +139,13 @@
 
   private String applyWrite(Request request) {
     versions.merge(request.key(), 1, Integer::sum);
-    caches.valueOutdated(request.key());
-    receipts++;
-    return Long.toString(receipts, RECEIPT_RADIX) + "-" + name;
+    cacheListener.valueOutdated(request.key());
+    receiptCount++;
+    return Long.toString(receiptCount, RECEIPT_RADIX) + "-" + name;
   }
 
   @Override
-  RequestReader reader(Consumer<Request> request, Runnable unreadable) {
+  RequestReader createReader(Consumer<Request> request, Runnable unreadable) {
     return RequestReader.http(request, unreadable);
   }
 
@@ -160,12 +160,12 @@
   }
 
   @Override
-  DedupMemory memory() {
-    return memory;
+  DedupMemory dedupMemory() {
+    return dedupMemory;
   }
 
   @Override
-  boolean survivesArrival(Request request, String proxyName) {
+  boolean recordArrival(Request request, String proxyName) {
     if (!request.write()) {
       countRead(request, proxyName);
     }
@@ -180,7 +180,7 @@
       completeWrite(request, reply, applyWrite(request));
     } else {
       int version = version(request.key());
-      caches.valueFetched(request, version);
+      cacheListener.valueFetched(request, version);
       sendOk(request, reply, createValue(request, version));
     }
   }
--- a/src/main/java/pathgw/fake/server/FakeServer.java
+++ b/src/main/java/pathgw/fake/server/FakeServer.java
@@ -87,7 +87,7 @@
   }
 
   /** Creates a reader of this server's protocol. */
-  abstract RequestReader reader(Consumer<Request> request, Runnable unreadable);
+  abstract RequestReader createReader(Consumer<Request> request, Runnable unreadable);
 
   /** How many times its usual time work takes at present. */
   abstract double serviceTimeFactor();
@@ -100,10 +100,10 @@
    *
    * @return false where the server crashed of it
    */
-  abstract boolean survivesArrival(Request request, String proxyName);
+  abstract boolean recordArrival(Request request, String proxyName);
 
   /** The memory of idempotency keys that this server uses. */
-  abstract DedupMemory memory();
+  abstract DedupMemory dedupMemory();
 
   /** Does the work of a request at the end of its service time, and replies. */
   abstract void execute(Request request, PendingReply reply);
@@ -150,12 +150,12 @@
   final void handle(Request request, PendingReply reply) {
     if (rejectsAll() || drawFault(faults.rejectionProbability)) {
       reject(request, reply);
-    } else if (survivesArrival(request, reply.proxyName())) {
+    } else if (recordArrival(request, reply.proxyName())) {
       // The arrival may have overloaded the server.
       if (rejectsAll() || workers.full()) {
         reject(request, reply);
       } else {
-        runOnce(request, reply);
+        submitUnlessRepeated(request, reply);
       }
     }
   }
@@ -166,12 +166,12 @@
   }
 
   /** A write whose idempotency key is known does not run: it gets the first one's receipt. */
-  private void runOnce(Request request, PendingReply reply) {
+  private void submitUnlessRepeated(Request request, PendingReply reply) {
     String idempotencyKey = idempotencyKey(request);
     boolean repeated =
         request.write()
             && !idempotencyKey.isEmpty()
-            && memory()
+            && dedupMemory()
                 .isRepeat(
                     idempotencyKey, clock.now(), receipt -> acknowledge(request, reply, receipt));
     observer.requestAccepted(name, request, repeated);
@@ -182,7 +182,7 @@
 
   /** Replies to a write that has run, and to all repeats of it that wait. */
   final void completeWrite(Request request, PendingReply reply, String receipt) {
-    memory().complete(idempotencyKey(request), receipt);
+    dedupMemory().complete(idempotencyKey(request), receipt);
     acknowledge(request, reply, receipt);
   }
 
--- a/src/main/java/pathgw/fake/server/ServerConnection.java
+++ b/src/main/java/pathgw/fake/server/ServerConnection.java
@@ -29,9 +29,9 @@
   private final FaultInjection faults;
   private final String proxyName;
   private final ConnectionSide side;
-  private final RequestReader requests;
+  private final RequestReader requestReader;
   private final ArrayDeque<PendingReply> pending = new ArrayDeque<>();
-  private Duration usedAt;
+  private Duration lastUsedAt;
   private boolean ended;
 
   /**
@@ -46,8 +46,8 @@
     faults = server.faults;
     this.proxyName = proxyName;
     this.side = side;
-    requests = server.reader(this::request, this::unreadable);
-    usedAt = clock.now();
+    requestReader = server.createReader(this::request, this::unreadable);
+    lastUsedAt = clock.now();
     closeIfIdle();
   }
 
@@ -60,7 +60,7 @@
       return;
     }
     Duration idleTimeout = server.idleTimeout();
-    Duration remaining = usedAt.plus(idleTimeout).minus(clock.now());
+    Duration remaining = lastUsedAt.plus(idleTimeout).minus(clock.now());
     boolean expired = remaining.toNanos() <= 0;
     if (pending.isEmpty() && expired) {
       close();
@@ -82,7 +82,7 @@
   @Override
   public void received(Buffer bytes) {
     if (!ended) {
-      requests.read(bytes);
+      requestReader.read(bytes);
     }
   }
 
@@ -91,7 +91,7 @@
   }
 
   private void request(Request request) {
-    usedAt = clock.now();
+    lastUsedAt = clock.now();
     if (server.drawFault(faults.closeProbability)) {
       server.observer.requestRejected(server.name, request);
       close();
@@ -114,7 +114,7 @@
   void flush() {
     while (!ended && !pending.isEmpty() && pending.peek().bytes() != null) {
       PendingReply reply = pending.poll();
-      usedAt = clock.now();
+      lastUsedAt = clock.now();
       if (reply.endsConnection()) {
         sendAndEnd(reply.bytes());
       } else {
--- a/src/main/java/pathgw/fake/server/WorkerQueue.java
+++ b/src/main/java/pathgw/fake/server/WorkerQueue.java
@@ -12,7 +12,7 @@
   private final Random random;
   private final ServerLimits limits;
   private final DoubleSupplier serviceTimeFactor;
-  private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
+  private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
   private int busyWorkers;
 
   /**
@@ -29,7 +29,7 @@
 
   /** Whether all workers are busy and the queue is full. */
   boolean full() {
-    return busyWorkers >= limits.slots() && waiting.size() >= limits.queueLength();
+    return busyWorkers >= limits.slots() && queue.size() >= limits.queueLength();
   }
 
   /**
@@ -41,7 +41,7 @@
     if (busyWorkers < limits.slots()) {
       begin(onDone);
     } else {
-      waiting.add(onDone);
+      queue.add(onDone);
     }
   }
 
@@ -53,8 +53,8 @@
   private void end(Runnable onDone) {
     busyWorkers--;
     onDone.run();
-    if (!waiting.isEmpty() && busyWorkers < limits.slots()) {
-      begin(waiting.poll());
+    if (!queue.isEmpty() && busyWorkers < limits.slots()) {
+      begin(queue.poll());
     }
   }
 
