--- a/src/main/java/pathgw/fake/server/FakeCacheNode.java
+++ b/src/main/java/pathgw/fake/server/FakeCacheNode.java
@@ -48,7 +48,7 @@
     }
   }
 
-  private static final double OVERLOAD_SLACK_ROOTS = 2;
+  private static final double OVERLOAD_SLACK_SQUARE_ROOTS = 2;
   private static final double OVERLOAD_SLACK_REQUESTS = 2;
 
   private final Parameters parameters;
@@ -83,7 +83,7 @@
     this.crash = crash;
     recentArrivals =
         new OverloadWindow(
-            parameters.overloadWindow(), OVERLOAD_SLACK_ROOTS, OVERLOAD_SLACK_REQUESTS);
+            parameters.overloadWindow(), OVERLOAD_SLACK_SQUARE_ROOTS, OVERLOAD_SLACK_REQUESTS);
     storedVersions = new LeastRecentlyUsedMap(parameters.maxValues());
   }
 
--- a/src/main/java/pathgw/fake/server/FakeOrigin.java
+++ b/src/main/java/pathgw/fake/server/FakeOrigin.java
@@ -57,12 +57,12 @@
   /** What the callback of a failed read receives in place of a version. */
   static final int READ_FAILED = -1;
 
-  private static final double OVERLOAD_SLACK_ROOTS = 3;
+  private static final double OVERLOAD_SLACK_SQUARE_ROOTS = 3;
   private static final double OVERLOAD_SLACK_REQUESTS = 4;
   private static final Duration FAILURE_DELAY = Duration.ofMillis(2);
 
   /** One of so many replies has no length, and one of so many follows an interim response. */
-  private static final int UNUSUAL_REPLY_ONE_OF = 16;
+  private static final int REPLIES_PER_UNUSUAL_REPLY = 16;
 
   private static final int RECEIPT_RADIX = 36;
 
@@ -89,7 +89,7 @@
     dedupMemory = new DedupMemory(parameters.keyRetention());
     recentArrivals =
         new OverloadWindow(
-            parameters.overloadWindow(), OVERLOAD_SLACK_ROOTS, OVERLOAD_SLACK_REQUESTS);
+            parameters.overloadWindow(), OVERLOAD_SLACK_SQUARE_ROOTS, OVERLOAD_SLACK_REQUESTS);
   }
 
   /** The number of writes to a key so far. */
@@ -193,11 +193,11 @@
   /** Sends a body; some replies have no length and end with their connection. */
   private void sendOk(Request request, PendingReply reply, String body) {
     String head = "HTTP/1.1 200 OK\r\nX-Txn: " + request.id() + "\r\n";
-    if (random.nextInt(UNUSUAL_REPLY_ONE_OF) == 0) {
+    if (random.nextInt(REPLIES_PER_UNUSUAL_REPLY) == 0) {
       reply.sendLast(Buffer.buffer(head + "\r\n" + body));
       return;
     }
-    boolean interim = random.nextInt(UNUSUAL_REPLY_ONE_OF) == 0;
+    boolean interim = random.nextInt(REPLIES_PER_UNUSUAL_REPLY) == 0;
     String before = interim ? "HTTP/1.1 102 Processing\r\n\r\n" : "";
     String length = "Content-Length: " + body.length() + "\r\n";
     reply.send(Buffer.buffer(before + head + length + "\r\n" + body));
--- a/src/main/java/pathgw/fake/server/FakeServer.java
+++ b/src/main/java/pathgw/fake/server/FakeServer.java
@@ -29,7 +29,7 @@
   }
 
   private static final List<Corruption> CORRUPTIONS = List.of(Corruption.values());
-  private static final int UNTERMINATED_BYTES = 2000;
+  private static final int UNTERMINATED_LINE_BYTES = 2000;
   private static final char IDEMPOTENCY_KEY_LABEL = 'k';
 
   final String name;
@@ -137,7 +137,7 @@
           case WRONG_LENGTH -> withWrongLength(text);
           case TRUNCATED -> text.substring(0, text.length() / 2);
           case EXCESSIVE_LENGTH -> withExcessiveLength(text);
-          case NO_LINE_END -> "y".repeat(UNTERMINATED_BYTES);
+          case NO_LINE_END -> "y".repeat(UNTERMINATED_LINE_BYTES);
         });
   }
 
--- a/src/main/java/pathgw/fake/server/OverloadWindow.java
+++ b/src/main/java/pathgw/fake/server/OverloadWindow.java
@@ -14,19 +14,19 @@
   private static final double NANOS_PER_SECOND = 1e9;
 
   private final Duration window;
-  private final double slackRoots;
+  private final double slackSquareRoots;
   private final double slackArrivals;
   private final ArrayDeque<BackendObserver.Arrival> arrivals = new ArrayDeque<>();
 
   /**
    * Creates an empty window.
    *
-   * @param slackRoots slack in square roots of the permitted arrivals
+   * @param slackSquareRoots slack in square roots of the permitted arrivals
    * @param slackArrivals slack in arrivals
    */
-  OverloadWindow(Duration window, double slackRoots, double slackArrivals) {
+  OverloadWindow(Duration window, double slackSquareRoots, double slackArrivals) {
     this.window = window;
-    this.slackRoots = slackRoots;
+    this.slackSquareRoots = slackSquareRoots;
     this.slackArrivals = slackArrivals;
   }
 
@@ -47,7 +47,7 @@
   /** The arrivals as a share of what a limit permits, slack included. */
   double utilization(double limitPerSecond) {
     double permitted = limitPerSecond * window.toNanos() / NANOS_PER_SECOND;
-    return arrivals.size() / (permitted + slackRoots * Math.sqrt(permitted) + slackArrivals);
+    return arrivals.size() / (permitted + slackSquareRoots * Math.sqrt(permitted) + slackArrivals);
   }
 
   /** The arrivals in the window, in their order. */
--- a/src/main/java/pathgw/fake/server/ServerConnection.java
+++ b/src/main/java/pathgw/fake/server/ServerConnection.java
@@ -16,10 +16,10 @@
  */
 final class ServerConnection implements ConnectionHandler {
   private static final int MAX_RESET_DELAY_MS = 30;
-  private static final Duration RESET_AFTER_CUT_REPLY = Duration.ofMillis(5);
+  private static final Duration RESET_DELAY_AFTER_CUT_REPLY = Duration.ofMillis(5);
 
   /** How much is missing of a reply that a reset cuts short. */
-  private static final int CUT_BYTES = 3;
+  private static final int BYTES_LOST_BY_RESET = 3;
 
   private static final Buffer EXTRA_BYTES = Buffer.buffer("what is this\r\n");
 
@@ -135,8 +135,8 @@
 
   private void sendAndEnd(Buffer reply) {
     if (server.drawFault(faults.resetProbability)) {
-      side.write(reply.slice(0, reply.length() - CUT_BYTES));
-      clock.schedule(RESET_AFTER_CUT_REPLY, side::reset);
+      side.write(reply.slice(0, reply.length() - BYTES_LOST_BY_RESET));
+      clock.schedule(RESET_DELAY_AFTER_CUT_REPLY, side::reset);
     } else {
       side.write(reply);
       side.close();
