--- a/src/main/java/pathgw/fake/client/ClientConnection.java
+++ b/src/main/java/pathgw/fake/client/ClientConnection.java
@@ -31,7 +31,7 @@
   private final RecordCutter cutter = new RecordCutter(this::line);
   private ClientAttempt inFlight;
   private boolean ended;
-  private boolean used;
+  private boolean everUsed;
 
   ClientConnection(
       Clock clock,
@@ -58,8 +58,9 @@
 
   void send(ClientRequest request, Duration timeout, int retries) {
     ClientAttempt attempt =
-        new ClientAttempt(RandomIds.next(random), request, clock.now(), timeout, retries, !used);
-    used = true;
+        new ClientAttempt(
+            RandomIds.next(random), request, clock.now(), timeout, retries, !everUsed);
+    everUsed = true;
     inFlight = attempt;
     side.write(Buffer.buffer(command(attempt)));
     observer.attemptSent(attempt, proxy);
@@ -99,7 +100,7 @@
     if (attempt.equals(inFlight)) {
       inFlight = null;
       observer.attemptAbandoned(attempt, proxy);
-      closeForGood();
+      closeAndEnd();
     }
   }
 
@@ -107,11 +108,11 @@
     if (attempt.equals(inFlight)) {
       inFlight = null;
       observer.attemptTimedOut(attempt, proxy);
-      closeForGood();
+      closeAndEnd();
     }
   }
 
-  private void closeForGood() {
+  private void closeAndEnd() {
     side.close();
     ended = true;
   }
@@ -142,7 +143,7 @@
     if (attempt == null) {
       return;
     }
-    keepOrClose();
+    reuseOrClose();
     if (answer.startsWith(REJECTED_LINE)) {
       clients.retry(attempt, retryAfter(answer));
     } else if (!isSuccess(answer) && attempt.request().mayBeRetried()) {
@@ -150,11 +151,11 @@
     }
   }
 
-  private void keepOrClose() {
+  private void reuseOrClose() {
     if (random.nextDouble() < behavior.keptOpenShare) {
       ended = true; // Open on the wire, never used again.
     } else if (ended || !clients.keepIdle(this, proxy)) {
-      closeForGood();
+      closeAndEnd();
     }
   }
 
--- a/src/main/java/pathgw/fake/client/ClientObserver.java
+++ b/src/main/java/pathgw/fake/client/ClientObserver.java
@@ -32,8 +32,8 @@
    * A client that sent a malformed command has ended.
    *
    * @param input which malformed command it sent
-   * @param took the time to the error line or the close; null where neither came
+   * @param responseTime the time to the error line or the close; null where neither came
    * @param answer the first line that came; empty where none did
    */
-  void malformedInputEnded(int proxy, String input, Duration took, String answer);
+  void malformedInputEnded(int proxy, String input, Duration responseTime, String answer);
 }
--- a/src/main/java/pathgw/fake/client/ClientRequest.java
+++ b/src/main/java/pathgw/fake/client/ClientRequest.java
@@ -7,14 +7,10 @@
  *
  * @param tenant index in the list of tenants
  * @param idempotencyKey empty unless the request class has idempotency keys
- * @param firstSentAt when the client first wanted it, from which its deadline counts
+ * @param createdAt when the client first wanted it, from which its deadline counts
  */
 public record ClientRequest(
-    RequestClass requestClass,
-    int tenant,
-    String key,
-    String idempotencyKey,
-    Duration firstSentAt) {
+    RequestClass requestClass, int tenant, String key, String idempotencyKey, Duration createdAt) {
   /** Whether the client may send it again although an earlier attempt may have run. */
   boolean mayBeRetried() {
     return switch (requestClass.effect()) {
@@ -26,6 +22,6 @@
 
   /** What is left of the deadline; negative after it. */
   Duration remaining(Duration now) {
-    return firstSentAt.plus(requestClass.deadline()).minus(now);
+    return createdAt.plus(requestClass.deadline()).minus(now);
   }
 }
--- a/src/main/java/pathgw/fake/client/FakeClients.java
+++ b/src/main/java/pathgw/fake/client/FakeClients.java
@@ -23,12 +23,12 @@
   private static final int MAX_IDLE_CONNECTIONS_PER_PROXY = 24;
   private static final int MAX_ATTEMPTS = 3;
   private static final int MIN_ATTEMPT_TIMEOUT_MS = 20;
-  private static final int MIN_CONNECT_RETRY_MS = 50;
-  private static final int CONNECT_RETRY_RANGE_MS = 200;
+  private static final int MIN_CONNECT_RETRY_DELAY_MS = 50;
+  private static final int CONNECT_RETRY_DELAY_RANGE_MS = 200;
   private static final int RETRY_JITTER_MS = 100;
 
   /** One of so many connections is closed after an answer instead of being kept. */
-  private static final int CLOSE_ONE_OF = 20;
+  private static final int ANSWERS_PER_CLOSED_CONNECTION = 20;
 
   private final Clock clock;
   private final Random random;
@@ -40,7 +40,7 @@
   private final RequestGenerator requestGenerator;
   private final PoissonProcess requestArrivals;
   private final PoissonProcess malformedArrivals;
-  private final String malformedRequestClass;
+  private final String malformedInputRequestClass;
   private final List<Deque<ClientConnection>> idleConnections = new ArrayList<>();
   private boolean stopped;
 
@@ -48,11 +48,10 @@
    * Creates clients that have not started.
    *
    * @param random the source of all random choices
-   * @param unevenness how unequal the proxies' traffic is: exponent of Zipf's law, 0 for round
-   *     robin
+   * @param proxySkew how unequal the proxies' traffic is: exponent of Zipf's law, 0 for round robin
    * @param tenants names, as requests carry them
    * @param keys how many keys there are
-   * @param skew exponent of Zipf's law for the keys' popularity
+   * @param keySkew exponent of Zipf's law for the keys' popularity
    */
   public FakeClients(
       Clock clock,
@@ -60,17 +59,17 @@
       ClientConnector connector,
       ClientObserver observer,
       int proxies,
-      double unevenness,
+      double proxySkew,
       List<RequestClass> requestClasses,
       List<String> tenants,
       int keys,
-      double skew) {
+      double keySkew) {
     this.clock = clock;
     this.random = random;
     this.connector = connector;
     this.observer = observer;
     this.tenants = tenants;
-    loadBalancer = new LoadBalancer(clock, random, proxies, unevenness);
+    loadBalancer = new LoadBalancer(clock, random, proxies, proxySkew);
     requestGenerator =
         new RequestGenerator(
             clock,
@@ -78,7 +77,7 @@
             behavior,
             requestClasses,
             tenants.size(),
-            new ZipfDistribution(keys, skew));
+            new ZipfDistribution(keys, keySkew));
     requestArrivals =
         new PoissonProcess(
             clock,
@@ -91,7 +90,7 @@
             random,
             () -> Math.max(MIN_MALFORMED_PER_SECOND, behavior.malformedPerSecond),
             this::sendMalformedInput);
-    malformedRequestClass = requestClasses.get(0).name();
+    malformedInputRequestClass = requestClasses.get(0).name();
     for (int i = 0; i < proxies; i++) {
       idleConnections.add(new ArrayDeque<>());
     }
@@ -158,7 +157,8 @@
   private void connectionRefused(int proxy, ClientRequest request, int retries) {
     loadBalancer.connectionRefused(proxy);
     Duration pause =
-        Duration.ofMillis(MIN_CONNECT_RETRY_MS + random.nextInt(CONNECT_RETRY_RANGE_MS));
+        Duration.ofMillis(
+            MIN_CONNECT_RETRY_DELAY_MS + random.nextInt(CONNECT_RETRY_DELAY_RANGE_MS));
     clock.schedule(pause, () -> send(request, retries + 1));
   }
 
@@ -169,7 +169,8 @@
     int proxy = random.nextInt(idleConnections.size());
     connector.open(
         proxy,
-        side -> new MalformedClient(clock, random, observer, malformedRequestClass, side, proxy),
+        side ->
+            new MalformedClient(clock, random, observer, malformedInputRequestClass, side, proxy),
         () -> {});
   }
 
@@ -189,7 +190,7 @@
     Deque<ClientConnection> pool = idleConnections.get(proxy);
     if (stopped
         || pool.size() >= MAX_IDLE_CONNECTIONS_PER_PROXY
-        || random.nextInt(CLOSE_ONE_OF) == 0) {
+        || random.nextInt(ANSWERS_PER_CLOSED_CONNECTION) == 0) {
       return false;
     }
     pool.addLast(connection);
--- a/src/main/java/pathgw/fake/client/LoadBalancer.java
+++ b/src/main/java/pathgw/fake/client/LoadBalancer.java
@@ -19,24 +19,24 @@
   private final Random random;
 
   /** How unequal the proxies' traffic is; null for round robin. */
-  private final ZipfDistribution unevenShares;
+  private final ZipfDistribution skewedProxies;
 
   private final boolean[] inRotation;
 
   /** When a proxy that refused a connection is taken out of rotation; null where none has. */
   private final Duration[] removalAt;
 
-  private int last;
+  private int lastChosen;
 
   /**
    * Creates a load balancer with no proxy in rotation.
    *
-   * @param unevenness exponent of Zipf's law for the proxies' shares; 0 for round robin
+   * @param proxySkew exponent of Zipf's law for the proxies' shares; 0 for round robin
    */
-  LoadBalancer(Clock clock, Random random, int proxies, double unevenness) {
+  LoadBalancer(Clock clock, Random random, int proxies, double proxySkew) {
     this.clock = clock;
     this.random = random;
-    unevenShares = unevenness == 0 ? null : new ZipfDistribution(proxies, unevenness);
+    skewedProxies = proxySkew == 0 ? null : new ZipfDistribution(proxies, proxySkew);
     inRotation = new boolean[proxies];
     removalAt = new Duration[proxies];
   }
@@ -65,12 +65,12 @@
     }
     Duration delay =
         Duration.ofMillis(MIN_REMOVAL_DELAY_MS + random.nextInt(REMOVAL_DELAY_RANGE_MS));
-    Duration planned = clock.now().plus(delay);
-    removalAt[proxy] = planned;
+    Duration plannedRemoval = clock.now().plus(delay);
+    removalAt[proxy] = plannedRemoval;
     clock.schedule(
         delay,
         () -> {
-          if (planned.equals(removalAt[proxy])) {
+          if (plannedRemoval.equals(removalAt[proxy])) {
             inRotation[proxy] = false;
           }
         });
@@ -78,19 +78,19 @@
 
   /** Chooses the proxy of the next request; one out of rotation only where all are. */
   int next() {
-    if (unevenShares != null) {
-      last = unevenShares.next(random);
-      if (inRotation[last]) {
-        return last;
+    if (skewedProxies != null) {
+      lastChosen = skewedProxies.next(random);
+      if (inRotation[lastChosen]) {
+        return lastChosen;
       }
     }
     for (int i = 0; i < inRotation.length; i++) {
-      last = (last + 1) % inRotation.length;
-      if (inRotation[last]) {
-        return last;
+      lastChosen = (lastChosen + 1) % inRotation.length;
+      if (inRotation[lastChosen]) {
+        return lastChosen;
       }
     }
-    last = (last + 1) % inRotation.length;
-    return last;
+    lastChosen = (lastChosen + 1) % inRotation.length;
+    return lastChosen;
   }
 }
--- a/src/main/java/pathgw/fake/client/MalformedClient.java
+++ b/src/main/java/pathgw/fake/client/MalformedClient.java
@@ -12,7 +12,7 @@
 /** A client that sends one malformed command and waits for an error line or the close. */
 final class MalformedClient implements ConnectionHandler {
   private static final List<MalformedInput> INPUTS = List.of(MalformedInput.values());
-  private static final Duration LONGEST_WAIT = Duration.ofMillis(3600);
+  private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(3600);
 
   private final Clock clock;
   private final ClientObserver observer;
@@ -21,7 +21,7 @@
   private final Duration openedAt;
 
   /** Index of the input, by which observers know it. */
-  private final int form;
+  private final int inputIndex;
 
   private final RecordCutter cutter = new RecordCutter(this::line);
   private boolean ended;
@@ -38,8 +38,8 @@
     this.side = side;
     this.proxy = proxy;
     openedAt = clock.now();
-    form = random.nextInt(INPUTS.size());
-    MalformedInput input = INPUTS.get(form);
+    inputIndex = random.nextInt(INPUTS.size());
+    MalformedInput input = INPUTS.get(inputIndex);
     String text = input.text(RandomIds.next(random), requestClass);
     if (!text.isEmpty()) {
       side.write(Buffer.buffer(text));
@@ -48,7 +48,7 @@
       side.close();
       ended = true;
     } else {
-      clock.schedule(LONGEST_WAIT, () -> end(null, ""));
+      clock.schedule(RESPONSE_TIMEOUT, () -> end(null, ""));
     }
   }
 
@@ -69,12 +69,12 @@
   /**
    * Reports the end once and closes.
    *
-   * @param took the time to the error line or the close; null where neither came
+   * @param responseTime the time to the error line or the close; null where neither came
    */
-  private void end(Duration took, String answer) {
+  private void end(Duration responseTime, String answer) {
     if (!ended) {
       ended = true;
-      observer.malformedInputEnded(proxy, "form " + form, took, answer);
+      observer.malformedInputEnded(proxy, "form " + inputIndex, responseTime, answer);
       side.close();
     }
   }
--- a/src/main/java/pathgw/fake/client/PoissonProcess.java
+++ b/src/main/java/pathgw/fake/client/PoissonProcess.java
@@ -47,7 +47,8 @@
   }
 
   private Duration drawPause() {
-    double meanPauses = -Math.log(1 - random.nextDouble());
-    return Duration.ofNanos((long) (meanPauses / eventsPerSecond.getAsDouble() * NANOS_PER_SECOND));
+    double relativePause = -Math.log(1 - random.nextDouble());
+    return Duration.ofNanos(
+        (long) (relativePause / eventsPerSecond.getAsDouble() * NANOS_PER_SECOND));
   }
 }
--- a/src/main/java/pathgw/fake/client/RequestGenerator.java
+++ b/src/main/java/pathgw/fake/client/RequestGenerator.java
@@ -40,8 +40,8 @@
   ClientRequest next() {
     RequestClass requestClass = drawRequestClass();
     int tenant = drawTenant();
-    boolean keyed = requestClass.effect() == RequestClass.Effect.IDEMPOTENCY_KEYED;
-    String idempotencyKey = keyed ? RandomIds.next(random) : "";
+    boolean needsIdempotencyKey = requestClass.effect() == RequestClass.Effect.IDEMPOTENCY_KEYED;
+    String idempotencyKey = needsIdempotencyKey ? RandomIds.next(random) : "";
     return new ClientRequest(requestClass, tenant, drawKey(), idempotencyKey, clock.now());
   }
 
@@ -57,8 +57,8 @@
 
   /** Every tenant has the weight 1, but the first the weight {@code firstTenantWeight}. */
   private int drawTenant() {
-    double weights = tenants - 1 + behavior.firstTenantWeight;
-    double point = random.nextDouble() * weights - behavior.firstTenantWeight;
+    double totalWeight = tenants - 1 + behavior.firstTenantWeight;
+    double point = random.nextDouble() * totalWeight - behavior.firstTenantWeight;
     return point < 0 ? 0 : Math.min(tenants - 1, 1 + (int) point);
   }
 
