--- a/src/main/java/pathgw/fake/discovery/CallQueue.java
+++ b/src/main/java/pathgw/fake/discovery/CallQueue.java
@@ -24,7 +24,7 @@
    *
    * @param callsPerSecond zero for no limit
    */
-  void limit(double callsPerSecond) {
+  void setRate(double callsPerSecond) {
     this.callsPerSecond = callsPerSecond;
   }
 
@@ -34,12 +34,12 @@
       return Duration.ZERO;
     }
     Duration now = clock.now();
-    Duration begin = busyUntil.compareTo(now) < 0 ? now : busyUntil;
-    Duration wait = begin.minus(now);
+    Duration startTime = busyUntil.compareTo(now) < 0 ? now : busyUntil;
+    Duration wait = startTime.minus(now);
     if (wait.compareTo(MAX_WAIT) > 0) {
       return null;
     }
-    busyUntil = begin.plusNanos((long) (NANOS_PER_SECOND / callsPerSecond));
+    busyUntil = startTime.plusNanos((long) (NANOS_PER_SECOND / callsPerSecond));
     return wait;
   }
 }
--- a/src/main/java/pathgw/fake/discovery/DiscoveryConnection.java
+++ b/src/main/java/pathgw/fake/discovery/DiscoveryConnection.java
@@ -55,7 +55,7 @@
   }
 
   /** Whether it is a watch that still sends. */
-  boolean sendsChanges() {
+  boolean isActiveWatch() {
     return watching && !silent;
   }
 
@@ -83,23 +83,23 @@
     if (line.startsWith("GET ")) {
       path = line.split(" ")[1];
     } else if (line.isEmpty() && path != null) {
-      String requested = path;
+      String requestedPath = path;
       path = null;
-      enqueue(requested);
+      enqueue(requestedPath);
     }
   }
 
-  private void enqueue(String requested) {
-    Duration wait = discovery.calls.enqueue();
+  private void enqueue(String requestedPath) {
+    Duration wait = discovery.callQueue.enqueue();
     if (wait == null) {
       reject();
     } else {
       Duration delay = discovery.drawDelay().plusMillis(1).plus(wait);
-      clock.schedule(delay, () -> answer(requested));
+      clock.schedule(delay, () -> answer(requestedPath));
     }
   }
 
-  private void answer(String requested) {
+  private void answer(String requestedPath) {
     if (!discovery.isOpen(this)) {
       return;
     }
@@ -107,9 +107,9 @@
       refuse();
       return;
     }
-    discovery.heard(proxyName);
-    if (requested.contains(WATCH_PARAMETER)) {
-      startWatch(requested);
+    discovery.callAnswered(proxyName);
+    if (requestedPath.contains(WATCH_PARAMETER)) {
+      startWatch(requestedPath);
     } else {
       sendList();
     }
@@ -135,17 +135,17 @@
     reportCompleteList();
   }
 
-  private void startWatch(String requested) {
-    int since = requested.indexOf(SINCE_PARAMETER);
+  private void startWatch(String requestedPath) {
+    int since = requestedPath.indexOf(SINCE_PARAMETER);
     sentVersion =
         since < 0
             ? NO_VERSION
-            : Long.parseLong(requested.substring(since + SINCE_PARAMETER.length()));
+            : Long.parseLong(requestedPath.substring(since + SINCE_PARAMETER.length()));
     side.write(Buffer.buffer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
     watching = true;
     // The first line comes also where nothing has changed: it says that the list is up to date.
     if (sentVersion == history.version()) {
-      chunk(EndpointHistory.changesJson(sentVersion, List.of()) + "\n");
+      sendChunk(EndpointHistory.changesJson(sentVersion, List.of()) + "\n");
     } else {
       sendChanges(history.version());
     }
@@ -157,7 +157,7 @@
         KEEP_ALIVE_INTERVAL,
         () -> {
           if (discovery.isOpen(this) && !silent) {
-            chunk("\n");
+            sendChunk("\n");
             scheduleKeepAlive();
           }
         });
@@ -169,13 +169,13 @@
       return;
     }
     if (history.hasChangesSince(sentVersion)) {
-      List<EndpointEntry> missed = history.changes(sentVersion, upTo);
-      chunk(EndpointHistory.changesJson(upTo, missed) + "\n");
-      missed.forEach(
+      List<EndpointEntry> missedChanges = history.changes(sentVersion, upTo);
+      sendChunk(EndpointHistory.changesJson(upTo, missedChanges) + "\n");
+      missedChanges.forEach(
           entry -> observer.endpointNotified(proxyName, entry.host(), entry.health(), upTo));
       sentVersion = upTo;
     } else {
-      chunk(history.completeJson() + "\n");
+      sendChunk(history.completeJson() + "\n");
       reportCompleteList();
       sentVersion = history.version();
     }
@@ -189,7 +189,7 @@
     observer.endpointNotified(proxyName, "", "", version);
   }
 
-  private void chunk(String text) {
+  private void sendChunk(String text) {
     side.write(Buffer.buffer(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n"));
   }
 
--- a/src/main/java/pathgw/fake/discovery/EndpointEntry.java
+++ b/src/main/java/pathgw/fake/discovery/EndpointEntry.java
@@ -6,7 +6,7 @@
  * @param host its name
  * @param address its address, as host and port
  * @param zone its zone
- * @param kind its kind of machine
+ * @param hostType its kind of machine
  * @param cell its cell within the zone
  * @param health "ready", "draining" or "gone"
  * @param startedAtMs when it last started, in milliseconds of Unix time; 0 for long ago
@@ -15,7 +15,7 @@
     String host,
     String address,
     String zone,
-    String kind,
+    String hostType,
     int cell,
     String health,
     long startedAtMs) {
@@ -30,7 +30,7 @@
         + "\",\"site\":\""
         + zone
         + "\",\"class\":\""
-        + kind
+        + hostType
         + "\",\"block\":"
         + cell
         + ",\"health\":\""
--- a/src/main/java/pathgw/fake/discovery/EndpointHistory.java
+++ b/src/main/java/pathgw/fake/discovery/EndpointHistory.java
@@ -10,7 +10,7 @@
 /** The endpoint list with its version, and its latest changes as far as they are kept. */
 final class EndpointHistory {
   /** A watch that has missed more changes than this receives the complete list. */
-  private static final int MAX_CHANGES = 16;
+  private static final int MAX_KEPT_CHANGES = 16;
 
   /** One change of the list, which gave it this version. */
   private record Change(long version, EndpointEntry entry) {}
@@ -28,7 +28,7 @@
       entries.put(entry.host(), entry);
     }
     changes.add(new Change(version, entry));
-    if (changes.size() > MAX_CHANGES) {
+    if (changes.size() > MAX_KEPT_CHANGES) {
       changes.remove(0);
     }
   }
--- a/src/main/java/pathgw/fake/discovery/FakeDiscovery.java
+++ b/src/main/java/pathgw/fake/discovery/FakeDiscovery.java
@@ -22,7 +22,7 @@
   final Random random;
   final BackendObserver observer;
   final EndpointHistory history = new EndpointHistory();
-  final CallQueue calls;
+  final CallQueue callQueue;
   private final Set<DiscoveryConnection> connections = new LinkedHashSet<>();
   private final Map<String, Duration> silentSince = new LinkedHashMap<>();
   private boolean down;
@@ -34,7 +34,7 @@
     this.clock = clock;
     this.random = random;
     this.observer = observer;
-    calls = new CallQueue(clock);
+    callQueue = new CallQueue(clock);
   }
 
   /** Changes the list and sends the change to all watches. */
@@ -90,7 +90,7 @@
    * @param callsPerSecond zero for no limit
    */
   public void setCallsPerSecond(double callsPerSecond) {
-    calls.limit(callsPerSecond);
+    callQueue.setRate(callsPerSecond);
   }
 
   /** Goes down, which ends all connections, or comes up again. */
@@ -104,7 +104,7 @@
   /** Leaves a share of the open watches open but silent; new ones are served. */
   public void silenceWatches(double share) {
     for (DiscoveryConnection connection : connections) {
-      if (connection.sendsChanges() && random.nextDouble() < share) {
+      if (connection.isActiveWatch() && random.nextDouble() < share) {
         connection.silence();
         silentSince.put(connection.proxyName(), clock.now());
       }
@@ -120,7 +120,7 @@
   }
 
   /** A call of this proxy is answered. */
-  void heard(String proxy) {
+  void callAnswered(String proxy) {
     silentSince.remove(proxy);
   }
 
