--- a/src/main/java/pathgw/fake/RecordCutter.java
+++ b/src/main/java/pathgw/fake/RecordCutter.java
@@ -25,7 +25,7 @@
   private int to;
 
   /** Bytes after {@code from} that have been searched for a line end. */
-  private int searched;
+  private int searchedBytes;
 
   /**
    * Creates a cutter that expects a line.
@@ -37,7 +37,7 @@
   }
 
   /** The next record is a block of this size; lines follow after it. */
-  public void expect(int size, RecordConsumer onBlock) {
+  public void expectBlock(int size, RecordConsumer onBlock) {
     blockSize = size;
     this.onBlock = onBlock;
   }
@@ -45,12 +45,12 @@
   /** Adds bytes and delivers every record that is complete. */
   public void add(Buffer bytes) {
     if (to + bytes.length() > buffer.length) {
-      makeRoom(bytes.length());
+      ensureCapacity(bytes.length());
     }
     bytes.getBytes(buffer, to);
     to += bytes.length();
     while (deliverNext()) {
-      searched = 0;
+      searchedBytes = 0;
     }
   }
 
@@ -59,7 +59,7 @@
     return new String(bytes, from, to - from, StandardCharsets.ISO_8859_1);
   }
 
-  private void makeRoom(int length) {
+  private void ensureCapacity(int length) {
     int remaining = to - from;
     byte[] larger = new byte[Math.max(buffer.length, remaining + length)];
     System.arraycopy(buffer, from, larger, 0, remaining);
@@ -84,7 +84,7 @@
   }
 
   private boolean deliverLine() {
-    for (int i = from + searched; i < to; i++) {
+    for (int i = from + searchedBytes; i < to; i++) {
       if (buffer[i] == '\n') {
         int start = from;
         from = i + 1;
@@ -93,7 +93,7 @@
         return true;
       }
     }
-    searched = to - from;
+    searchedBytes = to - from;
     return false;
   }
 }
--- a/src/main/java/pathgw/fake/RequestReader.java
+++ b/src/main/java/pathgw/fake/RequestReader.java
@@ -69,7 +69,7 @@
     readFlags(words);
     if (write) {
       int valueLength = Integer.parseInt(words[2]);
-      cutter.expect(valueLength + CRLF_BYTES, (value, start, end) -> complete());
+      cutter.expectBlock(valueLength + CRLF_BYTES, (value, start, end) -> complete());
     } else {
       complete();
     }
@@ -98,7 +98,7 @@
     } else if (line.startsWith(CONTENT_LENGTH_HEADER)) {
       contentLength = Integer.parseInt(line.substring(CONTENT_LENGTH_HEADER.length()));
     } else if (line.isEmpty()) {
-      cutter.expect(contentLength, (body, start, end) -> complete());
+      cutter.expectBlock(contentLength, (body, start, end) -> complete());
     }
   }
 
--- a/src/main/java/pathgw/fake/client/ClientConnection.java
+++ b/src/main/java/pathgw/fake/client/ClientConnection.java
@@ -130,7 +130,7 @@
     }
     String size = line.split(" ")[1];
     int length = size.matches("\\d{1,7}") ? Integer.parseInt(size) : 0;
-    cutter.expect(
+    cutter.expectBlock(
         length + CRLF_BYTES,
         (value, start, end) ->
             answered(line + " " + RecordCutter.text(value, start, end - CRLF_BYTES)));
