--- a/src/main/java/pathgw/fake/server/DedupMemory.java
+++ b/src/main/java/pathgw/fake/server/DedupMemory.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 
 /**
- * The idempotency keys that a group of servers remembers. Each key is kept for a fixed time from
- * when its first request began, together with that request's receipt.
+ * Stores the idempotency keys that a group of servers has received, each with the receipt of its
+ * first request. A key is kept for a fixed deduplication window that begins with its first request.
  */
 public final class DedupMemory {
   private static final class Entry {
@@ -27,22 +27,24 @@
 
   private final Duration retention;
 
-  /** In the order of expiry, since every key is kept for the same time. */
+  /** Ordered by expiry: keys are added in the order of time and all have the same retention. */
   private final Map<String, Entry> entries = new LinkedHashMap<>();
 
   /**
-   * Creates an empty memory.
+   * Creates a store without keys.
    *
-   * @param retention how long a key is remembered
+   * @param retention how long a key is kept after its first request
    */
   public DedupMemory(Duration retention) {
     this.retention = retention;
   }
 
   /**
-   * Whether a key is remembered already; a new key is remembered from now on.
+   * Returns whether a key is already stored; adds it if it is not.
    *
-   * @param onReceipt of a repeat: receives the first request's receipt, as soon as there is one
+   * @param now time since the start of the run
+   * @param onReceipt receives the first request's receipt if this request repeats it: immediately
+   *     if the first request has completed, otherwise when it completes
    */
   boolean isRepeat(String idempotencyKey, Duration now, Consumer<String> onReceipt) {
     removeExpired(now);
@@ -66,7 +68,7 @@
     }
   }
 
-  /** Stores the receipt of a completed request and answers the repeats that wait for it. */
+  /** Stores the receipt of a completed request and passes it to the repeats that wait for it. */
   void complete(String idempotencyKey, String receipt) {
     Entry entry = entries.get(idempotencyKey);
     if (entry != null && entry.receipt == null) {
--- a/src/main/java/pathgw/fake/server/FakeCacheNode.java
+++ b/src/main/java/pathgw/fake/server/FakeCacheNode.java
@@ -12,24 +12,27 @@
 import pathgw.fake.RequestReader;
 
 /**
- * A cache node that speaks the meta protocol. It evicts the key used longest ago, starts with a
- * part of its capacity, crashes when overloaded while it warms up, and drains on command.
+ * A fake cache node that speaks the meta protocol. It evicts the least recently used key and drains
+ * on command. After a start it is cold: it warms up from a fraction of its capacity to all of it,
+ * and crashes if it is overloaded meanwhile.
  */
 public final class FakeCacheNode extends FakeServer {
   /**
-   * What a node can take.
+   * The capacity of a node and its behavior under overload.
    *
-   * @param slots how many requests it works on at a time
-   * @param serviceTime the mean work of one request on a warm node
-   * @param queueLength how many requests may wait
-   * @param maxConnections how many connections it accepts
-   * @param idleTimeout how long a connection may stand idle
-   * @param initialCapacityFraction the share of its capacity that it starts with
-   * @param warmUpDuration how long it warms up, its capacity growing evenly
-   * @param crashMultiple a node that warms up crashes when it receives more than this multiple of
-   *     its capacity for {@code overloadWindow}
-   * @param maxValues how many values it stores
-   * @param origin where it fetches what it lacks; null where it only stores
+   * @param slots how many requests the node processes in parallel
+   * @param serviceTime the mean service time of one request on a warm node
+   * @param queueLength how many requests may wait for a slot
+   * @param maxConnections how many connections the node accepts
+   * @param idleTimeout after how long an idle connection is closed
+   * @param initialCapacityFraction the fraction of its capacity that a node has at its start, 0 to
+   *     1
+   * @param warmUpDuration the time from the start to the full capacity, which grows linearly
+   * @param crashMultiple a node that is warming up crashes when the requests that arrive within
+   *     {@code overloadWindow} exceed this multiple of its present capacity
+   * @param overloadWindow the length of the sliding window in which arrivals are counted
+   * @param maxValues how many values the node stores
+   * @param origin receives reads that miss, and all writes; null if the node only stores values
    */
   public record Parameters(
       int slots,
@@ -60,11 +63,12 @@
   private boolean draining;
 
   /**
-   * Creates an empty node.
+   * Creates a node without values.
    *
-   * @param warmUpStart when it started; null for a node that is warm already
-   * @param dedupMemory of idempotency keys, shared with the nodes of its group
-   * @param crash ends this node for good
+   * @param warmUpStart when the node started cold, since the start of the run; null for a node that
+   *     is warm from its start
+   * @param dedupMemory idempotency keys, shared by the nodes that deduplicate together
+   * @param crash ends the process of this node
    */
   public FakeCacheNode(
       String name,
@@ -87,7 +91,7 @@
     storedVersions = new LeastRecentlyUsedMap(parameters.maxValues());
   }
 
-  /** The versions stored under each key, without the keys used longest ago. */
+  /** Maps keys to stored versions and evicts the least recently used key when it is full. */
   private static final class LeastRecentlyUsedMap extends LinkedHashMap<String, Integer> {
     private static final long serialVersionUID = 1L;
     private static final int INITIAL_CAPACITY = 64;
@@ -106,13 +110,13 @@
     }
   }
 
-  /** Whether the node is still warming up. */
+  /** Returns whether the node is still warming up. */
   public boolean isCold() {
     return warmUpStart != null
         && clock.now().minus(warmUpStart).compareTo(parameters.warmUpDuration()) < 0;
   }
 
-  /** The share of its capacity that it has at present, 0 to 1. */
+  /** Returns the fraction of its full capacity that the node has at present, 0 to 1. */
   private double capacityFraction() {
     if (!isCold()) {
       return 1;
@@ -123,7 +127,7 @@
         + gained * elapsedNanos / parameters.warmUpDuration().toNanos();
   }
 
-  /** Finishes the requests that it has and rejects all others. */
+  /** Rejects all new requests; requests that were accepted before still complete. */
   public void drain() {
     draining = true;
   }
@@ -133,7 +137,7 @@
     storedVersions.clear();
   }
 
-  /** Stores a version of a key's value. */
+  /** Stores a version of the value of a key. */
   public void store(String key, int version) {
     storedVersions.put(key, version);
   }
@@ -182,7 +186,7 @@
 
   @Override
   void execute(Request request, PendingReply reply) {
-    // Looked up also where the request then fails: the lookup counts as a use of the key.
+    // A request that fails below counts as a use of its key too, so the lookup comes first.
     Integer version = storedVersions.get(request.key());
     if (drawFault(faults.errorProbability)) {
       reply.send(failure());
--- a/src/main/java/pathgw/fake/server/FakeOrigin.java
+++ b/src/main/java/pathgw/fake/server/FakeOrigin.java
@@ -13,22 +13,23 @@
 import pathgw.fake.RequestReader;
 
 /**
- * The origin, which speaks HTTP. It has every key, can take far less than all requests, and goes
- * down for a while when overloaded with reads.
+ * A fake origin that speaks HTTP. It has a value for every key, but capacity for only a small part
+ * of the clients' requests. It goes down for a fixed time when reads overload it.
  */
 public final class FakeOrigin extends FakeServer {
   /**
-   * What the origin can take.
+   * The capacity of the origin and its behavior under overload.
    *
-   * @param slots how many requests it works on at a time
-   * @param serviceTime the mean work of one request
-   * @param queueLength how many requests may wait
-   * @param maxConnections how many connections it accepts
-   * @param idleTimeout how long a connection may stand idle
-   * @param overloadMultiple it goes down when it receives more reads than this multiple of its
-   *     capacity for {@code overloadWindow}; 0 for never
-   * @param downTime how long it stays down
-   * @param keyRetention how long it remembers idempotency keys
+   * @param slots how many requests the origin processes in parallel
+   * @param serviceTime the mean service time of one request
+   * @param queueLength how many requests may wait for a slot
+   * @param maxConnections how many connections the origin accepts
+   * @param idleTimeout after how long an idle connection is closed
+   * @param overloadMultiple the origin goes down when the reads that arrive within {@code
+   *     overloadWindow} exceed this multiple of its capacity; 0 if it never goes down
+   * @param overloadWindow the length of the sliding window in which reads are counted
+   * @param downTime how long the origin stays down after an overload
+   * @param keyRetention how long the origin keeps an idempotency key after its first request
    */
   public record Parameters(
       int slots,
@@ -45,23 +46,26 @@
     }
   }
 
-  /** Receives what the origin's results mean for the values stored at the cache nodes. */
+  /** Receives the events at the origin that change which values the cache nodes store. */
   public interface CacheListener {
-    /** The origin answers a read that had missed. */
+    /** Called when the origin answers a read that a proxy sends to it after a miss. */
     void valueFetched(Request request, int version);
 
-    /** A write has made all stored values of a key stale. */
+    /** Called when a write has made the values that cache nodes store for a key stale. */
     void valueOutdated(String key);
   }
 
-  /** What the callback of a failed read receives in place of a version. */
+  /** Passed to the callback of a failed read in place of a version. */
   static final int READ_FAILED = -1;
 
   private static final double OVERLOAD_SLACK_SQUARE_ROOTS = 3;
   private static final double OVERLOAD_SLACK_REQUESTS = 4;
   private static final Duration FAILURE_DELAY = Duration.ofMillis(2);
 
-  /** One of so many replies has no length, and one of so many follows an interim response. */
+  /**
+   * One in this many replies, on average, has no Content-Length, and one in this many follows an
+   * interim response.
+   */
   private static final int REPLIES_PER_UNUSUAL_REPLY = 16;
 
   private static final int RECEIPT_RADIX = 36;
@@ -92,7 +96,7 @@
             parameters.overloadWindow(), OVERLOAD_SLACK_SQUARE_ROOTS, OVERLOAD_SLACK_REQUESTS);
   }
 
-  /** The number of writes to a key so far. */
+  /** Returns the version of a key, which is the number of writes to it so far. */
   private int version(String key) {
     return versions.getOrDefault(key, 0);
   }
@@ -111,8 +115,9 @@
   }
 
   /**
-   * Reads for a cache node that fetches what it lacks.
+   * Reads a key for a cache node on which a read missed.
    *
+   * @param proxyName the proxy that sent the read to the cache node
    * @param version receives the version, or {@link #READ_FAILED}
    */
   void read(Request request, String proxyName, IntConsumer version) {
@@ -125,9 +130,9 @@
   }
 
   /**
-   * Writes for a cache node that forwards writes.
+   * Writes a key for a cache node that writes through.
    *
-   * @param receipt receives the receipt, or null for a failure
+   * @param receipt receives the receipt, or null if the write failed
    */
   void write(Request request, Consumer<String> receipt) {
     if (down() || workers.full()) {
@@ -190,7 +195,10 @@
     sendOk(request, reply, receipt);
   }
 
-  /** Sends a body; some replies have no length and end with their connection. */
+  /**
+   * Sends a successful reply. Some replies have no Content-Length, so that their body ends with the
+   * connection, and some follow an interim response.
+   */
   private void sendOk(Request request, PendingReply reply, String body) {
     String head = "HTTP/1.1 200 OK\r\nX-Txn: " + request.id() + "\r\n";
     if (random.nextInt(REPLIES_PER_UNUSUAL_REPLY) == 0) {
--- a/src/main/java/pathgw/fake/server/FakeServer.java
+++ b/src/main/java/pathgw/fake/server/FakeServer.java
@@ -13,12 +13,12 @@
 import pathgw.fake.RequestReader;
 
 /**
- * What the fake cache node and the fake origin share: a bounded number of connections, a bounded
- * queue of work, idempotency keys and injected faults. A subclass has its own protocol, storage and
- * behaviour under overload.
+ * The common part of the fake cache node and the fake origin: bounded connections, a bounded
+ * request queue, deduplication by idempotency keys, and injected faults. Subclasses implement the
+ * protocol, the storage and the behavior under overload.
  */
 abstract class FakeServer {
-  /** The ways in which a reply is made invalid. */
+  /** The ways in which {@link #corrupt} makes a reply invalid. */
   private enum Corruption {
     NOISE,
     WRONG_ID,
@@ -44,9 +44,9 @@
   /**
    * Creates a server without connections.
    *
-   * @param name as observers know it
+   * @param name the name that is reported to the observer
    * @param random the source of all random choices
-   * @param faults what goes wrong at present; the caller changes it at any time
+   * @param faults the faults in effect, which the caller may change at any time
    */
   FakeServer(
       String name,
@@ -65,10 +65,11 @@
   }
 
   /**
-   * Takes a connection.
+   * Accepts a connection, up to the limit.
    *
    * @param proxyName the proxy that connects
-   * @return the handler of the connection, or null where the server accepts no more
+   * @param side the server's side of the connection
+   * @return the handler of the connection, or null if the server has its maximum of connections
    */
   public final ConnectionHandler accept(String proxyName, ConnectionSide side) {
     if (connections >= limits.maxConnections()) {
@@ -86,47 +87,53 @@
     return limits.idleTimeout();
   }
 
-  /** Creates a reader of this server's protocol. */
+  /**
+   * Creates a reader for the protocol of this server.
+   *
+   * @param request receives each complete request
+   * @param unreadable called for input that is no request
+   */
   abstract RequestReader createReader(Consumer<Request> request, Runnable unreadable);
 
-  /** How many times its usual time work takes at present. */
+  /** Returns the factor by which requests take longer than their usual service time. */
   abstract double serviceTimeFactor();
 
-  /** Whether the server rejects every request at present. */
+  /** Returns whether the server rejects every request at present. */
   abstract boolean rejectsAll();
 
   /**
-   * Counts an arriving request against the server's capacity.
+   * Counts an arriving request towards the load that may overload the server.
    *
-   * @return false where the server crashed of it
+   * @param proxyName the proxy that sent the request
+   * @return whether the server still runs; false if this arrival made it crash
    */
   abstract boolean recordArrival(Request request, String proxyName);
 
-  /** The memory of idempotency keys that this server uses. */
+  /** Returns the store of idempotency keys that this server uses. */
   abstract DedupMemory dedupMemory();
 
-  /** Does the work of a request at the end of its service time, and replies. */
+  /** Executes a request and replies; called at the end of the request's service time. */
   abstract void execute(Request request, PendingReply reply);
 
-  /** Replies to a write. */
+  /** Sends the reply to a write, which carries its receipt. */
   abstract void sendReceipt(Request request, PendingReply reply, String receipt);
 
-  /** The reply to a request that was not taken on. */
+  /** Returns the reply to a request that was rejected without being executed. */
   abstract Buffer rejection();
 
-  /** The reply to a request that ran and failed. */
+  /** Returns the reply to a request that was executed and failed. */
   abstract Buffer failure();
 
-  /** Makes the request's id in a reply that of another request. */
+  /** Replaces the request id in a reply by one that the request doesn't have. */
   abstract String withWrongId(String reply);
 
-  /** Makes a reply contradict its length. */
+  /** Changes a reply so that it contradicts its declared length. */
   abstract String withWrongLength(String reply);
 
-  /** Gives a reply a length that no reader accepts. */
+  /** Changes a reply so that it declares a length above any limit of a reader. */
   abstract String withExcessiveLength(String reply);
 
-  /** Makes an invalid reply out of a valid one, in a random way. */
+  /** Returns an invalid copy of a reply, corrupted in a randomly drawn way. */
   final Buffer corrupt(Buffer reply) {
     Corruption corruption = CORRUPTIONS.get(random.nextInt(CORRUPTIONS.size()));
     String text = reply.toString();
@@ -141,17 +148,20 @@
         });
   }
 
-  /** Draws whether a fault happens; draws nothing while its share is zero. */
+  /**
+   * Draws whether a fault occurs. A probability of zero draws no random number, so that a fault
+   * that isn't injected leaves the sequence of random numbers unchanged.
+   */
   final boolean drawFault(double probability) {
     return probability > 0 && random.nextDouble() < probability;
   }
 
-  /** Rejects a request or takes it on. */
+  /** Rejects a request or accepts it for execution. */
   final void handle(Request request, PendingReply reply) {
     if (rejectsAll() || drawFault(faults.rejectionProbability)) {
       reject(request, reply);
     } else if (recordArrival(request, reply.proxyName())) {
-      // The arrival may have overloaded the server.
+      // Checked again because the arrival itself may have overloaded the server.
       if (rejectsAll() || workers.full()) {
         reject(request, reply);
       } else {
@@ -165,7 +175,10 @@
     reply.send(rejection());
   }
 
-  /** A write whose idempotency key is known does not run: it gets the first one's receipt. */
+  /**
+   * Accepts a request for execution. A write whose idempotency key is already stored isn't executed
+   * but receives the receipt of the first write with that key.
+   */
   private void submitUnlessRepeated(Request request, PendingReply reply) {
     String idempotencyKey = idempotencyKey(request);
     boolean repeated =
@@ -180,7 +193,7 @@
     }
   }
 
-  /** Replies to a write that has run, and to all repeats of it that wait. */
+  /** Replies to a write that was executed, and to all repeats that wait for its receipt. */
   final void completeWrite(Request request, PendingReply reply, String receipt) {
     dedupMemory().complete(idempotencyKey(request), receipt);
     acknowledge(request, reply, receipt);
@@ -195,7 +208,10 @@
     return request.label(IDEMPOTENCY_KEY_LABEL);
   }
 
-  /** The value of a read: unlike any other request's, so that mixed-up replies are found. */
+  /**
+   * Creates the value that answers a read. It contains the request id and is reported to the
+   * observer, so that a reply that reaches the wrong request is detected.
+   */
   final String createValue(Request request, int version) {
     String value = "v" + version + ":" + request.key() + ":" + request.id() + ":" + name;
     observer.replyCreated(name, request, value);
--- a/src/main/java/pathgw/fake/server/FaultInjection.java
+++ b/src/main/java/pathgw/fake/server/FaultInjection.java
@@ -1,28 +1,37 @@
 package pathgw.fake.server;
 
 /**
- * What goes wrong at a server at present; may be changed at any time. Each share is the probability
- * for one request, 0 to 1.
+ * The faults in effect at one fake server. The simulation changes the fields at any time. Each
+ * probability applies to one request or reply and lies between 0 and 1.
  */
 public final class FaultInjection {
-  /** How many times its usual time work takes. */
+  /** The factor by which requests take longer than their usual service time; 1 for no fault. */
   public double slowdownFactor = 1;
 
-  /** Requests that run and are answered with an error. */
+  /** The probability that a request is executed and answered with an error. */
   public double errorProbability;
 
-  /** Requests that are rejected without running. */
+  /** The probability that a request is rejected without being executed. */
   public double rejectionProbability;
 
-  /** Requests whose connection is reset after the command arrived, before or after it runs. */
+  /**
+   * The probability that a connection is reset after a request has arrived, before or after the
+   * request is executed; also that a reply without a length is cut short by a reset.
+   */
   public double resetProbability;
 
-  /** Requests whose connection is closed when the command arrives; it does not run. */
+  /** The probability that a request is not executed and its connection is closed instead. */
   public double closeProbability;
 
-  /** Replies replaced by invalid bytes: noise, another request's id, cut short or endless. */
+  /**
+   * The probability that a reply is corrupted: replaced by noise, given a wrong id or length,
+   * truncated, or replaced by a line without an end.
+   */
   public double corruptReplyProbability;
 
-  /** Valid replies that are followed by bytes nobody asked for. */
+  /**
+   * The probability that a valid reply is followed by extra bytes, unless the connection has
+   * further pending requests.
+   */
   public double extraBytesProbability;
 }
--- a/src/main/java/pathgw/fake/server/OverloadWindow.java
+++ b/src/main/java/pathgw/fake/server/OverloadWindow.java
@@ -6,9 +6,9 @@
 import pathgw.fake.BackendObserver;
 
 /**
- * The arrivals of a sliding window, compared with a limit. The limit is raised by some slack, so
- * that chance alone does not exceed it: a multiple of the square root of the permitted arrivals and
- * a constant.
+ * Compares the arrivals in a sliding window with a rate limit. The permitted number of arrivals is
+ * raised by a multiple of its square root and by a constant, so that random fluctuation of the
+ * arrivals alone doesn't exceed the limit.
  */
 final class OverloadWindow {
   private static final double NANOS_PER_SECOND = 1e9;
@@ -19,10 +19,11 @@
   private final ArrayDeque<BackendObserver.Arrival> arrivals = new ArrayDeque<>();
 
   /**
-   * Creates an empty window.
+   * Creates a window without arrivals.
    *
-   * @param slackSquareRoots slack in square roots of the permitted arrivals
-   * @param slackArrivals slack in arrivals
+   * @param window the length of the window
+   * @param slackSquareRoots the slack as a multiple of the square root of the permitted arrivals
+   * @param slackArrivals the constant slack, in arrivals
    */
   OverloadWindow(Duration window, double slackSquareRoots, double slackArrivals) {
     this.window = window;
@@ -30,7 +31,12 @@
     this.slackArrivals = slackArrivals;
   }
 
-  /** Adds an arrival and removes those that have left the window. */
+  /**
+   * Adds an arrival and removes those that have left the window.
+   *
+   * @param now time since the start of the run
+   * @param proxyName the proxy that sent the request
+   */
   void add(Duration now, String proxyName, String requestId) {
     long windowStart = now.minus(window).toNanos();
     while (!arrivals.isEmpty() && arrivals.peek().atNanos() < windowStart) {
@@ -39,18 +45,18 @@
     arrivals.add(new BackendObserver.Arrival(now.toNanos(), proxyName, requestId));
   }
 
-  /** Whether more has arrived than a limit permits, slack included. */
+  /** Returns whether the arrivals exceed the number that a limit and the slack permit. */
   boolean exceeds(double limitPerSecond) {
     return utilization(limitPerSecond) > 1;
   }
 
-  /** The arrivals as a share of what a limit permits, slack included. */
+  /** Returns the arrivals divided by the number that a limit and the slack permit. */
   double utilization(double limitPerSecond) {
     double permitted = limitPerSecond * window.toNanos() / NANOS_PER_SECOND;
     return arrivals.size() / (permitted + slackSquareRoots * Math.sqrt(permitted) + slackArrivals);
   }
 
-  /** The arrivals in the window, in their order. */
+  /** Returns the arrivals in the window, oldest first. */
   List<BackendObserver.Arrival> arrivals() {
     return List.copyOf(arrivals);
   }
--- a/src/main/java/pathgw/fake/server/PendingReply.java
+++ b/src/main/java/pathgw/fake/server/PendingReply.java
@@ -2,7 +2,7 @@
 
 import io.vertx.core.buffer.Buffer;
 
-/** The place of one request's reply in the order of its connection; filled once. */
+/** The reply to one request, queued in the order of its connection's requests; set once. */
 final class PendingReply {
   private final ServerConnection connection;
   private Buffer bytes;
@@ -12,19 +12,19 @@
     this.connection = connection;
   }
 
-  /** Sends a complete reply as soon as all earlier ones have been sent. */
+  /** Sends the reply as soon as all earlier replies of the connection have been sent. */
   void send(Buffer reply) {
     bytes = reply;
     connection.flush();
   }
 
-  /** Sends a reply without a length, whose end is the end of its connection. */
+  /** Sends a reply without a length, which ends with its connection. */
   void sendLast(Buffer reply) {
     endsConnection = true;
     send(reply);
   }
 
-  /** The reply, or null until it is sent. */
+  /** Returns the reply, or null until it is set. */
   Buffer bytes() {
     return bytes;
   }
@@ -33,7 +33,7 @@
     return endsConnection;
   }
 
-  /** The proxy whose request it is. */
+  /** Returns the name of the proxy that sent the request. */
   String proxyName() {
     return connection.proxyName();
   }
--- a/src/main/java/pathgw/fake/server/ServerConnection.java
+++ b/src/main/java/pathgw/fake/server/ServerConnection.java
@@ -11,14 +11,14 @@
 import pathgw.fake.RequestReader;
 
 /**
- * One connection of a proxy to a fake server. Replies are sent in the order of the requests. The
- * connection faults of {@link FaultInjection} happen here.
+ * One connection of a proxy to a fake server. It sends replies in the order of the requests, closes
+ * after an idle timeout and applies the connection and reply faults of {@link FaultInjection}.
  */
 final class ServerConnection implements ConnectionHandler {
   private static final int MAX_RESET_DELAY_MS = 30;
   private static final Duration RESET_DELAY_AFTER_CUT_REPLY = Duration.ofMillis(5);
 
-  /** How much is missing of a reply that a reset cuts short. */
+  /** The bytes missing at the end of a reply without a length that is followed by a reset. */
   private static final int BYTES_LOST_BY_RESET = 3;
 
   private static final Buffer EXTRA_BYTES = Buffer.buffer("what is this\r\n");
@@ -35,9 +35,10 @@
   private boolean ended;
 
   /**
-   * Takes over a connection.
+   * Starts to serve a connection.
    *
-   * @param proxyName the proxy
+   * @param proxyName the proxy at the other end
+   * @param side the server's side of the connection
    */
   ServerConnection(FakeServer server, String proxyName, ConnectionSide side) {
     this.server = server;
@@ -110,7 +111,7 @@
     }
   }
 
-  /** Sends what is ready, up to the first request that has no reply yet. */
+  /** Sends all replies that are set, up to the first request that has no reply yet. */
   void flush() {
     while (!ended && !pending.isEmpty() && pending.peek().bytes() != null) {
       PendingReply reply = pending.poll();
--- a/src/main/java/pathgw/fake/server/ServerLimits.java
+++ b/src/main/java/pathgw/fake/server/ServerLimits.java
@@ -3,19 +3,19 @@
 import java.time.Duration;
 
 /**
- * What a fake server can take.
+ * The capacity of a fake server.
  *
- * @param slots how many requests it works on at a time
- * @param serviceTime the mean work of one request, while nothing slows the server
+ * @param slots how many requests the server processes in parallel
+ * @param serviceTime the mean service time of one request without slowdown or warm-up
  * @param queueLength how many requests may wait for a slot
- * @param maxConnections how many connections it accepts
- * @param idleTimeout how long a connection may stand idle
+ * @param maxConnections how many connections the server accepts
+ * @param idleTimeout after how long an idle connection is closed
  */
 record ServerLimits(
     int slots, Duration serviceTime, int queueLength, int maxConnections, Duration idleTimeout) {
   private static final double NANOS_PER_SECOND = 1e9;
 
-  /** Requests a second with all slots at work. */
+  /** Returns the mean throughput with all slots busy, in requests per second. */
   double requestsPerSecond() {
     return slots * NANOS_PER_SECOND / serviceTime.toNanos();
   }
--- a/src/main/java/pathgw/fake/server/WorkerQueue.java
+++ b/src/main/java/pathgw/fake/server/WorkerQueue.java
@@ -6,7 +6,7 @@
 import java.util.function.DoubleSupplier;
 import pathgw.fake.Clock;
 
-/** The workers of a fake server and the bounded queue before them. */
+/** The workers of a fake server and the bounded queue of requests that wait for a worker. */
 final class WorkerQueue {
   private final Clock clock;
   private final Random random;
@@ -16,9 +16,10 @@
   private int busyWorkers;
 
   /**
-   * Creates idle workers.
+   * Creates idle workers and an empty queue.
    *
-   * @param serviceTimeFactor how many times its usual time work takes at present
+   * @param serviceTimeFactor supplies the factor by which requests take longer than usual; read
+   *     once for each request
    */
   WorkerQueue(Clock clock, Random random, ServerLimits limits, DoubleSupplier serviceTimeFactor) {
     this.clock = clock;
@@ -27,15 +28,16 @@
     this.serviceTimeFactor = serviceTimeFactor;
   }
 
-  /** Whether all workers are busy and the queue is full. */
+  /** Returns whether all workers are busy and the queue is full. */
   boolean full() {
     return busyWorkers >= limits.slots() && queue.size() >= limits.queueLength();
   }
 
   /**
-   * Works on a request as soon as a worker is free. Callers check {@link #full()} first.
+   * Processes a request as soon as a worker is free. Callers check {@link #full()} first; this
+   * method doesn't enforce the queue's bound.
    *
-   * @param onDone called at the end of the work, when its worker is free again
+   * @param onDone called at the end of the service time, when the worker is free again
    */
   void submit(Runnable onDone) {
     if (busyWorkers < limits.slots()) {
@@ -58,7 +60,10 @@
     }
   }
 
-  /** Half the mean and an exponential rest: most work takes about the mean, some several times. */
+  /**
+   * Draws half the mean plus an exponentially distributed part with the other half as its mean:
+   * most requests take about the mean, a few take several times as long.
+   */
   private Duration drawServiceTime() {
     double factor = 0.5 - Math.log(1 - random.nextDouble()) / 2;
     long nanos = (long) (limits.serviceTime().toNanos() * factor * serviceTimeFactor.getAsDouble());
--- a/src/main/java/pathgw/fake/server/package-info.java
+++ b/src/main/java/pathgw/fake/server/package-info.java
@@ -1,8 +1,9 @@
 /**
- * The servers behind the proxies: {@link pathgw.fake.server.FakeCacheNode} and {@link
- * pathgw.fake.server.FakeOrigin}, with limits, faults and idempotency keys.
+ * Fakes of the servers behind the proxies: {@link pathgw.fake.server.FakeCacheNode} and {@link
+ * pathgw.fake.server.FakeOrigin}, with bounded capacity, injected faults and deduplication by
+ * idempotency keys.
  *
- * <p>The simulation creates them and changes their faults. They know nothing about the endpoint
- * list or the clients, and never check whether a proxy was right to send a request.
+ * <p>The simulation creates the servers and changes their faults. The servers depend on neither the
+ * endpoint list nor the clients, and don't check whether a proxy was allowed to send a request.
  */
 package pathgw.fake.server;
