--- a/src/main/java/pathgw/fake/client/ClientAttempt.java
+++ b/src/main/java/pathgw/fake/client/ClientAttempt.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 
 /**
- * One attempt of a client's request.
+ * One attempt of a client to have a request served.
  *
- * @param id new with every attempt
- * @param request what the client wants, the same with every attempt
- * @param sentAt when this attempt was written to its connection
- * @param timeout how long the client waits for this attempt
- * @param retries how many attempts came before
- * @param firstOnConnection whether the connection carried nothing before
+ * @param id unique for each attempt
+ * @param request the request, which all its attempts share
+ * @param sentAt when the attempt was written to its connection, since the start of the run
+ * @param timeout how long the client waits for an answer to this attempt
+ * @param retries the number of earlier attempts for the request
+ * @param firstOnConnection whether no other attempt was sent on the connection before
  */
 public record ClientAttempt(
     String id,
@@ -19,17 +19,17 @@
     Duration timeout,
     int retries,
     boolean firstOnConnection) {
-  /** The class of the request. */
+  /** Returns the class of the request. */
   public RequestClass requestClass() {
     return request.requestClass();
   }
 
-  /** The key that is read or written. */
+  /** Returns the key that is read or written. */
   public String key() {
     return request.key();
   }
 
-  /** When the client's wait for this attempt ends. */
+  /** Returns when this attempt times out, since the start of the run. */
   public Duration deadline() {
     return sentAt.plus(timeout);
   }
--- a/src/main/java/pathgw/fake/client/ClientBehavior.java
+++ b/src/main/java/pathgw/fake/client/ClientBehavior.java
@@ -1,22 +1,25 @@
 package pathgw.fake.client;
 
-/** What the clients do at present; may be changed at any time. */
+/** The present behavior of the clients. The simulation changes the fields at any time. */
 public final class ClientBehavior {
-  /** Requests a second. */
+  /** The mean rate of new requests of all clients, in requests per second. */
   public double requestsPerSecond;
 
-  /** The share of requests for one single key, 0 to 1. */
+  /** The share of requests that are for the single hot key, 0 to 1. */
   public double hotKeyShare;
 
-  /** The first tenant's traffic, as a multiple of any other tenant's. */
+  /** The traffic of the first tenant as a multiple of that of each other tenant. */
   public double firstTenantWeight = 1;
 
-  /** The share of attempts that the client abandons before it has an answer, 0 to 1. */
+  /**
+   * The share of attempts that the client abandons, if no answer has arrived by then, at a random
+   * time before the timeout; 0 to 1.
+   */
   public double abandonedShare;
 
-  /** The share of answers after which the client keeps its connection open, unused, 0 to 1. */
+  /** The share of answers after which the client leaves its connection open but unused, 0 to 1. */
   public double keptOpenShare;
 
-  /** Clients a second that send a malformed command. */
+  /** The mean rate of clients that connect to send a malformed command, in clients per second. */
   public double malformedPerSecond;
 }
--- a/src/main/java/pathgw/fake/client/ClientConnection.java
+++ b/src/main/java/pathgw/fake/client/ClientConnection.java
@@ -9,9 +9,12 @@
 import pathgw.fake.ConnectionSide;
 import pathgw.fake.RecordCutter;
 
-/** A client's connection to a proxy, with at most one attempt in flight. */
+/** The connection of a client to a proxy, with at most one attempt in flight. */
 final class ClientConnection implements ConnectionHandler {
-  /** How long after an attempt's timeout the client still reads, to see an answer that is late. */
+  /**
+   * How long the client keeps reading after an attempt's timeout, so that the observer also
+   * receives late answers.
+   */
   private static final Duration LATE_ANSWER_WAIT = Duration.ofMillis(400);
 
   private static final String WRITTEN_VALUE = "some bytes of a booking";
@@ -153,7 +156,7 @@
 
   private void reuseOrClose() {
     if (random.nextDouble() < behavior.keptOpenShare) {
-      ended = true; // Open on the wire, never used again.
+      ended = true; // The connection stays open but is never used again.
     } else if (ended || !clients.keepIdle(this, proxy)) {
       closeAndEnd();
     }
@@ -163,7 +166,7 @@
     return answer.startsWith(VALUE_LINE) || answer.startsWith(STORED_LINE);
   }
 
-  /** The third word of a rejection, in milliseconds, where there is one. */
+  /** Returns the third word of a rejection as milliseconds; zero if there is none. */
   private static Duration retryAfter(String rejection) {
     String[] words = rejection.split(" ");
     return Duration.ofMillis(words.length > 2 ? Integer.parseInt(words[2]) : 0);
@@ -179,7 +182,7 @@
     ClientAttempt attempt = inFlight;
     inFlight = null;
     observer.connectionLost(attempt, proxy, !side.peerHasUnreadBytes());
-    // The proxy died, or closed an idle connection just as the command was sent.
+    // The proxy has died, or it closed the idle connection while the command was in transit.
     if (attempt.request().mayBeRetried()) {
       clients.retry(attempt, Duration.ZERO);
     }
--- a/src/main/java/pathgw/fake/client/ClientRequest.java
+++ b/src/main/java/pathgw/fake/client/ClientRequest.java
@@ -3,15 +3,17 @@
 import java.time.Duration;
 
 /**
- * What a client wants, the same through all its attempts.
+ * A request of a client, which stays the same in all its attempts.
  *
- * @param tenant index in the list of tenants
+ * @param tenant index into the list of tenants
+ * @param key the key that is read or written
  * @param idempotencyKey empty unless the request class has idempotency keys
- * @param createdAt when the client first wanted it, from which its deadline counts
+ * @param createdAt when the client created the request, since the start of the run; the deadline
+ *     counts from it
  */
 public record ClientRequest(
     RequestClass requestClass, int tenant, String key, String idempotencyKey, Duration createdAt) {
-  /** Whether the client may send it again although an earlier attempt may have run. */
+  /** Returns whether the client may retry although an earlier attempt may have been executed. */
   boolean mayBeRetried() {
     return switch (requestClass.effect()) {
       case IDEMPOTENT -> true;
@@ -20,7 +22,7 @@
     };
   }
 
-  /** What is left of the deadline; negative after it. */
+  /** Returns the time left until the deadline; negative after it. */
   Duration remaining(Duration now) {
     return createdAt.plus(requestClass.deadline()).minus(now);
   }
--- a/src/main/java/pathgw/fake/client/FakeClients.java
+++ b/src/main/java/pathgw/fake/client/FakeClients.java
@@ -11,12 +11,15 @@
 import pathgw.fake.ConnectionSide;
 
 /**
- * The clients of all proxies behind one load balancer. They send requests at random times, keep
- * connections for reuse, and retry as far as a request's class allows. Some of them send malformed
+ * The clients of all proxies, behind one load balancer. They send requests at random times, keep
+ * connections for reuse, and retry as far as the request class allows. Some clients send malformed
  * commands.
  */
 public final class FakeClients {
-  /** Arrivals never cease entirely: the next one looks at the behaviour again. */
+  /**
+   * Lower bound of the request rate. The rate is read again only at each arrival, so that a rate of
+   * zero would stop the traffic permanently.
+   */
   private static final double MIN_REQUESTS_PER_SECOND = 0.1;
 
   private static final double MIN_MALFORMED_PER_SECOND = 0.2;
@@ -27,7 +30,7 @@
   private static final int CONNECT_RETRY_DELAY_RANGE_MS = 200;
   private static final int RETRY_JITTER_MS = 100;
 
-  /** One of so many connections is closed after an answer instead of being kept. */
+  /** After one in this many answers, on average, the connection is closed instead of reused. */
   private static final int ANSWERS_PER_CLOSED_CONNECTION = 20;
 
   private final Clock clock;
@@ -48,10 +51,12 @@
    * Creates clients that have not started.
    *
    * @param random the source of all random choices
-   * @param proxySkew how unequal the proxies' traffic is: exponent of Zipf's law, 0 for round robin
-   * @param tenants names, as requests carry them
-   * @param keys how many keys there are
-   * @param keySkew exponent of Zipf's law for the keys' popularity
+   * @param proxies the number of proxies
+   * @param proxySkew exponent of Zipf's law for the proxies' shares of the traffic; 0 for round
+   *     robin
+   * @param tenants the tenant names that requests carry
+   * @param keys the number of keys
+   * @param keySkew exponent of Zipf's law for the popularity of the keys
    */
   public FakeClients(
       Clock clock,
@@ -96,12 +101,12 @@
     }
   }
 
-  /** What the clients do at present, for the caller to change. */
+  /** Returns the present behavior of the clients, which the caller may change. */
   public ClientBehavior behavior() {
     return behavior;
   }
 
-  /** Starts all traffic, with every proxy in the load balancer's rotation. */
+  /** Starts all traffic, with every proxy in the rotation of the load balancer. */
   public void start() {
     loadBalancer.addAll();
     requestArrivals.start();
@@ -116,17 +121,20 @@
     idleConnections.forEach(pool -> List.copyOf(pool).forEach(ClientConnection::close));
   }
 
-  /** A proxy accepts connections: the load balancer uses it from now on. */
+  /** Adds a proxy that accepts connections to the rotation of the load balancer. */
   public void proxyStarted(int proxy) {
     loadBalancer.add(proxy);
   }
 
-  /** A proxy begins its graceful shutdown: after a moment the load balancer uses it no more. */
+  /** Removes a proxy that shuts down gracefully from the load balancer's rotation, with a delay. */
   public void proxyDraining(int proxy) {
     loadBalancer.drain(proxy);
   }
 
-  /** Sends one attempt, on an idle connection where there is one. */
+  /**
+   * Sends one attempt, on an idle connection if there is one. Drops the request if its attempts are
+   * used up or too little time is left until its deadline.
+   */
   private void send(ClientRequest request, int retries) {
     Duration remaining = request.remaining(clock.now());
     Duration attemptTimeout = request.requestClass().attemptTimeout();
@@ -174,7 +182,7 @@
         () -> {});
   }
 
-  /** Sends the next attempt of a request after a pause with some jitter. */
+  /** Sends the next attempt of a request after a pause, plus a random jitter. */
   void retry(ClientAttempt attempt, Duration pause) {
     clock.schedule(
         pause.plusMillis(1 + random.nextInt(RETRY_JITTER_MS)),
@@ -182,9 +190,9 @@
   }
 
   /**
-   * Keeps a connection for reuse.
+   * Keeps an idle connection for reuse.
    *
-   * @return false where it must be closed instead
+   * @return whether it was kept; if false, the caller closes it
    */
   boolean keepIdle(ClientConnection connection, int proxy) {
     Deque<ClientConnection> pool = idleConnections.get(proxy);
@@ -197,7 +205,7 @@
     return true;
   }
 
-  /** Forgets a connection that has ended. */
+  /** Removes a connection that has ended from the idle connections. */
   void removeIdle(ClientConnection connection, int proxy) {
     idleConnections.get(proxy).remove(connection);
   }
--- a/src/main/java/pathgw/fake/client/LoadBalancer.java
+++ b/src/main/java/pathgw/fake/client/LoadBalancer.java
@@ -6,8 +6,8 @@
 import pathgw.fake.Clock;
 
 /**
- * Distributes client connections over the proxies. It learns late that a proxy has gone: it goes on
- * choosing a dead proxy for some seconds after the first refused connection.
+ * Distributes client requests over the proxies. It detects late that a proxy is down: it continues
+ * to choose the proxy for a random delay of a few seconds after the first refused connection.
  */
 final class LoadBalancer {
   private static final int MIN_REMOVAL_DELAY_MS = 1500;
@@ -18,12 +18,12 @@
   private final Clock clock;
   private final Random random;
 
-  /** How unequal the proxies' traffic is; null for round robin. */
+  /** Draws the proxy of a request; null for round robin. */
   private final ZipfDistribution skewedProxies;
 
   private final boolean[] inRotation;
 
-  /** When a proxy that refused a connection is taken out of rotation; null where none has. */
+  /** By proxy: when it leaves the rotation after a refused connection; null if not planned. */
   private final Duration[] removalAt;
 
   private int lastChosen;
@@ -31,7 +31,9 @@
   /**
    * Creates a load balancer with no proxy in rotation.
    *
-   * @param proxySkew exponent of Zipf's law for the proxies' shares; 0 for round robin
+   * @param proxies the number of proxies
+   * @param proxySkew exponent of Zipf's law for the proxies' shares of the traffic; 0 for round
+   *     robin
    */
   LoadBalancer(Clock clock, Random random, int proxies, double proxySkew) {
     this.clock = clock;
@@ -41,24 +43,24 @@
     removalAt = new Duration[proxies];
   }
 
-  /** Puts all proxies into rotation. */
+  /** Adds all proxies to the rotation. */
   void addAll() {
     Arrays.fill(inRotation, true);
   }
 
-  /** Puts a proxy into rotation at once. */
+  /** Adds a proxy to the rotation immediately and cancels its planned removal. */
   void add(int proxy) {
     inRotation[proxy] = true;
     removalAt[proxy] = null;
   }
 
-  /** Takes a proxy that shuts down out of rotation, after a moment. */
+  /** Removes a proxy that shuts down from the rotation, after a random delay. */
   void drain(int proxy) {
     Duration delay = Duration.ofMillis(MIN_DRAIN_DELAY_MS + random.nextInt(DRAIN_DELAY_RANGE_MS));
     clock.schedule(delay, () -> inRotation[proxy] = false);
   }
 
-  /** Notes a refused connection; without a new start the proxy leaves the rotation later. */
+  /** Plans the removal of a proxy that refused a connection, unless it starts again before. */
   void connectionRefused(int proxy) {
     if (removalAt[proxy] != null || !inRotation[proxy]) {
       return;
@@ -76,7 +78,9 @@
         });
   }
 
-  /** Chooses the proxy of the next request; one out of rotation only where all are. */
+  /**
+   * Chooses the proxy of the next request. Chooses a proxy that isn't in rotation only if none is.
+   */
   int next() {
     if (skewedProxies != null) {
       lastChosen = skewedProxies.next(random);
--- a/src/main/java/pathgw/fake/client/MalformedClient.java
+++ b/src/main/java/pathgw/fake/client/MalformedClient.java
@@ -9,7 +9,10 @@
 import pathgw.fake.ConnectionSide;
 import pathgw.fake.RecordCutter;
 
-/** A client that sends one malformed command and waits for an error line or the close. */
+/**
+ * A client that sends one malformed command and waits until it receives an error line or its
+ * connection ends.
+ */
 final class MalformedClient implements ConnectionHandler {
   private static final List<MalformedInput> INPUTS = List.of(MalformedInput.values());
   private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(3600);
@@ -20,7 +23,7 @@
   private final int proxy;
   private final Duration openedAt;
 
-  /** Index of the input, by which observers know it. */
+  /** Index into {@link #INPUTS}, which identifies the input in the observer's events. */
   private final int inputIndex;
 
   private final RecordCutter cutter = new RecordCutter(this::line);
@@ -67,9 +70,10 @@
   }
 
   /**
-   * Reports the end once and closes.
+   * Reports the end to the observer and closes the connection, on the first call only.
    *
-   * @param responseTime the time to the error line or the close; null where neither came
+   * @param responseTime the time from opening the connection to the error line or the close; null
+   *     if neither was observed
    */
   private void end(Duration responseTime, String answer) {
     if (!ended) {
--- a/src/main/java/pathgw/fake/client/MalformedInput.java
+++ b/src/main/java/pathgw/fake/client/MalformedInput.java
@@ -1,6 +1,9 @@
 package pathgw.fake.client;
 
-/** The malformed commands that a client may send, numbered in the order of their declaration. */
+/**
+ * The malformed commands that a client may send. Random draws and events use their ordinals, so the
+ * order of the constants must not change.
+ */
 enum MalformedInput {
   SILENCE,
   NOISE,
@@ -16,10 +19,10 @@
   KEY_TOO_LONG;
 
   /**
-   * The text to send; empty for none.
+   * Returns the text to send; empty if the client sends nothing.
    *
    * @param id a valid request id
-   * @param requestClass a request class that the proxies know
+   * @param requestClass the name of a valid request class
    */
   String text(String id, String requestClass) {
     String classLabel = " Pc=" + requestClass;
--- a/src/main/java/pathgw/fake/client/PoissonProcess.java
+++ b/src/main/java/pathgw/fake/client/PoissonProcess.java
@@ -5,7 +5,7 @@
 import java.util.function.DoubleSupplier;
 import pathgw.fake.Clock;
 
-/** Runs a task at random times that do not depend on each other, at a rate that may change. */
+/** Runs a task at the random times of a Poisson process, whose rate may change. */
 final class PoissonProcess {
   private static final double NANOS_PER_SECOND = 1e9;
 
@@ -18,7 +18,8 @@
   /**
    * Creates a process that has not started.
    *
-   * @param eventsPerSecond the rate, above zero; asked once for each pause
+   * @param eventsPerSecond supplies the rate, which must be above zero; read once for each pause
+   * @param onEvent the task to run
    */
   PoissonProcess(Clock clock, Random random, DoubleSupplier eventsPerSecond, Runnable onEvent) {
     this.clock = clock;
--- a/src/main/java/pathgw/fake/client/RandomIds.java
+++ b/src/main/java/pathgw/fake/client/RandomIds.java
@@ -2,7 +2,7 @@
 
 import java.util.Random;
 
-/** Ids of requests and idempotency keys. */
+/** Generates request ids and idempotency keys. */
 final class RandomIds {
   private RandomIds() {}
 
--- a/src/main/java/pathgw/fake/client/RequestGenerator.java
+++ b/src/main/java/pathgw/fake/client/RequestGenerator.java
@@ -18,8 +18,9 @@
   /**
    * Creates a generator.
    *
-   * @param tenants how many tenants there are
-   * @param keys popularity of the keys
+   * @param requestClasses the classes to draw from, with their shares
+   * @param tenants the number of tenants
+   * @param keys the distribution of the keys' indexes
    */
   RequestGenerator(
       Clock clock,
@@ -36,7 +37,10 @@
     this.keys = keys;
   }
 
-  /** Draws the next request; the order of the draws is part of what a seed stands for. */
+  /**
+   * Draws the next request. The order of the draws must not change: with another order a seed would
+   * produce other runs.
+   */
   ClientRequest next() {
     RequestClass requestClass = drawRequestClass();
     int tenant = drawTenant();
@@ -55,7 +59,7 @@
     return requestClasses.get(index);
   }
 
-  /** Every tenant has the weight 1, but the first the weight {@code firstTenantWeight}. */
+  /** Draws a tenant: the first has the weight {@code firstTenantWeight}, every other one 1. */
   private int drawTenant() {
     double totalWeight = tenants - 1 + behavior.firstTenantWeight;
     double point = random.nextDouble() * totalWeight - behavior.firstTenantWeight;
--- a/src/main/java/pathgw/fake/client/ZipfDistribution.java
+++ b/src/main/java/pathgw/fake/client/ZipfDistribution.java
@@ -11,13 +11,14 @@
     cumulativeWeights = new double[count];
     double sum = 0;
     for (int i = 0; i < count; i++) {
-      // Written so because its rounding is part of what a seed stands for.
+      // Math.pow(i + 1, exponent) is the same but rounds differently, and a seed would then produce
+      // other runs.
       sum += 1 / Math.sqrt(Math.pow(i + 1, 2 * exponent));
       cumulativeWeights[i] = sum;
     }
   }
 
-  /** Draws one index, with one number of {@code random}. */
+  /** Draws an index; takes exactly one number from {@code random}. */
   int next(Random random) {
     double point = random.nextDouble() * cumulativeWeights[cumulativeWeights.length - 1];
     int found = Arrays.binarySearch(cumulativeWeights, point);
