--- a/src/main/java/pathgw/fake/discovery/CallQueue.java
+++ b/src/main/java/pathgw/fake/discovery/CallQueue.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 import pathgw.fake.Clock;
 
-/** Processes calls one after another at a fixed rate. */
+/** Delays calls so that they are processed one after another, at a limited rate. */
 final class CallQueue {
   private static final Duration MAX_WAIT = Duration.ofSeconds(3);
   private static final double NANOS_PER_SECOND = 1e9;
 
   private final Clock clock;
 
-  /** Zero for no limit. */
+  /** The rate limit; zero for none. */
   private double callsPerSecond;
 
   private Duration busyUntil = Duration.ZERO;
@@ -20,15 +20,19 @@
   }
 
   /**
-   * Sets the rate.
+   * Sets the rate at which calls are processed.
    *
-   * @param callsPerSecond zero for no limit
+   * @param callsPerSecond the rate; zero for no limit
    */
   void setRate(double callsPerSecond) {
     this.callsPerSecond = callsPerSecond;
   }
 
-  /** How long a call that arrives now waits; null where it is rejected for too long a wait. */
+  /**
+   * Enqueues a call that arrives now.
+   *
+   * @return how long the call waits; null if it is rejected because it would wait too long
+   */
   Duration enqueue() {
     if (callsPerSecond == 0) {
       return Duration.ZERO;
--- a/src/main/java/pathgw/fake/discovery/DiscoveryConnection.java
+++ b/src/main/java/pathgw/fake/discovery/DiscoveryConnection.java
@@ -10,7 +10,10 @@
 import pathgw.fake.ConnectionSide;
 import pathgw.fake.RecordCutter;
 
-/** One HTTP connection of a proxy to the discovery service; a watch once it has asked for one. */
+/**
+ * One HTTP connection of a proxy to the discovery service. It becomes a watch when the proxy
+ * requests one.
+ */
 final class DiscoveryConnection implements ConnectionHandler {
   private static final Duration KEEP_ALIVE_INTERVAL = Duration.ofSeconds(2);
   private static final long NO_VERSION = -1;
@@ -26,19 +29,20 @@
   private final ConnectionSide side;
   private final RecordCutter cutter = new RecordCutter(this::line);
 
-  /** Path of the request whose head is being read; null between requests. */
+  /** The path of the request whose header is being read; null between requests. */
   private String path;
 
-  /** The version of the list that the watch has brought the proxy to. */
+  /** The version of the list that the proxy has after the events sent on this watch. */
   private long sentVersion = NO_VERSION;
 
   private boolean watching;
   private boolean silent;
 
   /**
-   * Takes over a connection.
+   * Starts to serve a connection.
    *
-   * @param proxyName the proxy
+   * @param proxyName the proxy at the other end
+   * @param side the service's side of the connection
    */
   DiscoveryConnection(FakeDiscovery discovery, String proxyName, ConnectionSide side) {
     this.discovery = discovery;
@@ -54,7 +58,7 @@
     return proxyName;
   }
 
-  /** Whether it is a watch that still sends. */
+  /** Returns whether this connection is a watch that hasn't been silenced. */
   boolean isActiveWatch() {
     return watching && !silent;
   }
@@ -63,7 +67,7 @@
     return watching;
   }
 
-  /** Keeps the watch open and sends nothing more on it. */
+  /** Stops sending on this watch, keep-alives included, but leaves it open. */
   void silence() {
     silent = true;
   }
@@ -143,7 +147,7 @@
             : Long.parseLong(requestedPath.substring(since + SINCE_PARAMETER.length()));
     side.write(Buffer.buffer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
     watching = true;
-    // The first line comes also where nothing has changed: it says that the list is up to date.
+    // Without missed changes an empty event still confirms that the proxy's list is up to date.
     if (sentVersion == history.version()) {
       sendChunk(EndpointHistory.changesJson(sentVersion, List.of()) + "\n");
     } else {
@@ -163,7 +167,10 @@
         });
   }
 
-  /** Sends what a watch lacks up to a version: the changes, or the complete list. */
+  /**
+   * Sends the changes that a watch lacks up to a version, or the complete list if not all of them
+   * are kept.
+   */
   void sendChanges(long upTo) {
     if (!discovery.isOpen(this) || silent || sentVersion >= upTo) {
       return;
--- a/src/main/java/pathgw/fake/discovery/EndpointEntry.java
+++ b/src/main/java/pathgw/fake/discovery/EndpointEntry.java
@@ -1,15 +1,16 @@
 package pathgw.fake.discovery;
 
 /**
- * One endpoint of the list.
+ * One entry of the endpoint list.
  *
- * @param host its name
- * @param address its address, as host and port
- * @param zone its zone
- * @param hostType its kind of machine
- * @param cell its cell within the zone
+ * @param host the name of the endpoint
+ * @param address host and port to connect to
+ * @param zone the zone of the endpoint
+ * @param hostType the type of its machine
+ * @param cell the number of its cell within the zone
  * @param health "ready", "draining" or "gone"
- * @param startedAtMs when it last started, in milliseconds of Unix time; 0 for long ago
+ * @param startedAtMs when it last started, in milliseconds of Unix time; 0 if it started so long
+ *     ago that it has warmed up
  */
 public record EndpointEntry(
     String host,
--- a/src/main/java/pathgw/fake/discovery/EndpointHistory.java
+++ b/src/main/java/pathgw/fake/discovery/EndpointHistory.java
@@ -7,19 +7,19 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** The endpoint list with its version, and its latest changes as far as they are kept. */
+/** The endpoint list with its version, and a bounded number of its latest changes. */
 final class EndpointHistory {
   /** A watch that has missed more changes than this receives the complete list. */
   private static final int MAX_KEPT_CHANGES = 16;
 
-  /** One change of the list, which gave it this version. */
+  /** A change of one entry, and the version of the list after it. */
   private record Change(long version, EndpointEntry entry) {}
 
   private final Map<String, EndpointEntry> entries = new LinkedHashMap<>();
   private final List<Change> changes = new ArrayList<>();
   private long version = 1;
 
-  /** Applies a change: an entry that is gone is removed. */
+  /** Adds or replaces an entry; removes the entry of its host if its health is {@code gone}. */
   void apply(EndpointEntry entry) {
     version++;
     if (entry.health().equals(EndpointEntry.GONE)) {
@@ -41,13 +41,13 @@
     return entries.values();
   }
 
-  /** The health of a host; {@code gone} where the list does not name it. */
+  /** Returns the health of a host; {@code gone} if the list doesn't contain the host. */
   String health(String host) {
     EndpointEntry entry = entries.get(host);
     return entry == null ? EndpointEntry.GONE : entry.health();
   }
 
-  /** Whether all changes since an earlier version are kept. */
+  /** Returns whether there are changes since a version and all of them are kept. */
   boolean hasChangesSince(long since) {
     return since >= 0
         && since < version
@@ -55,7 +55,7 @@
         && changes.get(0).version() <= since + 1;
   }
 
-  /** The changes after one version up to another, oldest first. */
+  /** Returns the kept changes after one version up to and including another, oldest first. */
   List<EndpointEntry> changes(long after, long upTo) {
     return changes.stream()
         .filter(change -> change.version() > after && change.version() <= upTo)
@@ -63,12 +63,12 @@
         .toList();
   }
 
-  /** The complete list as JSON. */
+  /** Returns the complete list as JSON. */
   String completeJson() {
     return json(version, true, entries.values());
   }
 
-  /** Some changes as JSON. */
+  /** Returns changes as JSON, with the version of the list that they lead to. */
   static String changesJson(long version, List<EndpointEntry> changes) {
     return json(version, false, changes);
   }
--- a/src/main/java/pathgw/fake/discovery/FakeDiscovery.java
+++ b/src/main/java/pathgw/fake/discovery/FakeDiscovery.java
@@ -13,9 +13,9 @@
 import pathgw.fake.ConnectionSide;
 
 /**
- * The discovery service: serves the endpoint list over HTTP to all proxies, complete or as a watch
- * that sends changes. On command it answers late, rejects calls, goes down or leaves watches
- * silent.
+ * A fake discovery service. It serves the endpoint list to all proxies over HTTP, as a complete
+ * list or as a watch that sends changes. The simulation can make it answer late, refuse calls,
+ * limit its call rate, go down or stop sending on open watches.
  */
 public final class FakeDiscovery {
   final Clock clock;
@@ -29,7 +29,7 @@
   private double refusalProbability;
   private Duration maxDelay = Duration.ZERO;
 
-  /** Creates a service with an empty list. */
+  /** Creates a service with an empty endpoint list. */
   public FakeDiscovery(Clock clock, Random random, BackendObserver observer) {
     this.clock = clock;
     this.random = random;
@@ -37,10 +37,11 @@
     callQueue = new CallQueue(clock);
   }
 
-  /** Changes the list and sends the change to all watches. */
+  /** Changes one entry of the list and sends the change to all watches. */
   public void update(EndpointEntry entry) {
     history.apply(entry);
-    // A delayed change is sent as of now: a complete list may have overtaken it by then.
+    // After the delay a watch receives changes up to this version only, or none if a complete list
+    // sent in between already contains them.
     long version = history.version();
     for (DiscoveryConnection connection : List.copyOf(connections)) {
       if (connection.watching()) {
@@ -49,37 +50,37 @@
     }
   }
 
-  /** Whether the list has a host with this health; a host that it does not name is gone. */
+  /** Returns whether a host has a health; a host that isn't in the list is {@code gone}. */
   public boolean hasHealth(String host, String health) {
     return history.health(host).equals(health);
   }
 
-  /** The version of the list. */
+  /** Returns the version of the list. */
   public long version() {
     return history.version();
   }
 
-  /** The endpoints of the list in their order. */
+  /** Returns the entries of the list in their order. */
   public List<EndpointEntry> entries() {
     return List.copyOf(history.entries());
   }
 
-  /** Sets the longest delay of an answer or a change. */
+  /** Sets the maximum delay of an answer or of a change that is sent on a watch. */
   public void setMaxDelay(Duration maxDelay) {
     this.maxDelay = maxDelay;
   }
 
-  /** Draws the delay of an answer or a change. */
+  /** Draws the delay of an answer or of a change that is sent on a watch. */
   Duration drawDelay() {
     return Duration.ofNanos(1 + (long) (maxDelay.toNanos() * random.nextDouble()));
   }
 
-  /** Sets the share of calls that are rejected or reset, 0 to 1. */
+  /** Sets the probability that a call is rejected or its connection reset, 0 to 1. */
   public void setRefusalProbability(double refusalProbability) {
     this.refusalProbability = refusalProbability;
   }
 
-  /** Draws whether a call is refused; draws nothing while none is. */
+  /** Draws whether a call is refused; draws no random number if the probability is zero. */
   boolean drawRefusal() {
     return refusalProbability > 0 && random.nextDouble() < refusalProbability;
   }
@@ -87,13 +88,13 @@
   /**
    * Limits the rate at which calls are processed.
    *
-   * @param callsPerSecond zero for no limit
+   * @param callsPerSecond the rate; zero for no limit
    */
   public void setCallsPerSecond(double callsPerSecond) {
     callQueue.setRate(callsPerSecond);
   }
 
-  /** Goes down, which ends all connections, or comes up again. */
+  /** Takes the service down, which closes all connections, or brings it up again. */
   public void setDown(boolean down) {
     this.down = down;
     if (down) {
@@ -101,7 +102,12 @@
     }
   }
 
-  /** Leaves a share of the open watches open but silent; new ones are served. */
+  /**
+   * Stops sending on a random selection of the open watches but leaves them open. New watches are
+   * served.
+   *
+   * @param share the probability for each watch, 0 to 1
+   */
   public void silenceWatches(double share) {
     for (DiscoveryConnection connection : connections) {
       if (connection.isActiveWatch() && random.nextDouble() < share) {
@@ -112,14 +118,14 @@
   }
 
   /**
-   * Since when a proxy's watch has been silent without an answer to any later call of the proxy;
-   * null where it is not.
+   * Returns when a watch of a proxy was silenced, since the start of the run; null if none was, or
+   * if the service has answered a later call of the proxy.
    */
   public Duration silentSince(String proxy) {
     return silentSince.get(proxy);
   }
 
-  /** A call of this proxy is answered. */
+  /** Records that a call of a proxy is answered. */
   void callAnswered(String proxy) {
     silentSince.remove(proxy);
   }
@@ -129,15 +135,16 @@
     List.copyOf(connections).forEach(DiscoveryConnection::close);
   }
 
-  /** The complete list as JSON. */
+  /** Returns the complete list as JSON. */
   public String completeListJson() {
     return history.completeJson();
   }
 
   /**
-   * Takes a connection.
+   * Accepts a connection.
    *
    * @param proxyName the proxy that connects
+   * @param side the service's side of the connection
    * @return the handler of the connection, or null while the service is down
    */
   public ConnectionHandler accept(String proxyName, ConnectionSide side) {
