--- a/src/main/java/pathgw/fake/BackendObserver.java
+++ b/src/main/java/pathgw/fake/BackendObserver.java
@@ -3,62 +3,74 @@
 import java.util.List;
 
 /**
- * Receives what truly happened at the fake servers and the fake discovery service, whatever the
- * proxies believe.
+ * Receives the events at the fake servers and the fake discovery service. They are the actual state
+ * of the backend, with which the invariant checker compares the behavior of the proxies.
  */
 public interface BackendObserver {
   /**
-   * One arrival in the window in which a server was overloaded.
+   * One request that arrived in the window in which a server was overloaded.
    *
-   * @param atNanos since the start of the run
-   * @param proxyName the proxy
-   * @param id of the request
+   * @param atNanos the time of arrival, in nanoseconds since the start of the run
+   * @param proxyName the proxy that sent the request
+   * @param id the id of the request
    */
   record Arrival(long atNanos, String proxyName, String id) {}
 
   /**
-   * A server has taken a request on: it runs, or will.
+   * Called when a server has accepted a request, which it executes as soon as a worker is free.
    *
-   * @param repeated it does not run, because its idempotency key is known
+   * @param server the name of the cache node or origin, as in all methods
+   * @param repeated whether the request is not executed, because its idempotency key is already
+   *     stored
    */
   void requestAccepted(String server, Request request, boolean repeated);
 
-  /** A server has rejected a request without running it. */
+  /** Called when a server has rejected a request without executing it. */
   void requestRejected(String server, Request request);
 
   /**
-   * A read found nothing.
+   * Called when a cache node has no value for the key of a read.
    *
    * @param cold whether the node is still warming up
    */
   void cacheMissed(String server, Request request, boolean cold);
 
   /**
-   * A server has created a reply, which may be served for this request and no other.
+   * Called when a server has created a reply, which is valid for this request only.
    *
-   * @param reply a value or a receipt
+   * @param reply the value of a read or the receipt of a write
    */
   void replyCreated(String server, Request request, String reply);
 
   /**
-   * A node that warms up has received a request.
+   * Called when a cache node that is warming up has received a request.
    *
-   * @param utilization recent arrivals as a share of those at which the node crashes
+   * @param utilization the arrivals in the overload window divided by the number above which the
+   *     node crashes
    */
   void coldNodeLoad(double utilization);
 
-  /** A node has crashed because it was overloaded while it warmed up. */
+  /**
+   * Called when a cache node crashes because it was overloaded while it was warming up.
+   *
+   * @param arrivals the requests in the overload window, oldest first
+   */
   void coldNodeCrashed(String server, List<Arrival> arrivals);
 
-  /** The origin has gone down because it was overloaded. */
+  /**
+   * Called when the origin goes down because it was overloaded.
+   *
+   * @param arrivals the reads in the overload window, oldest first
+   */
   void originWentDown(List<Arrival> arrivals);
 
   /**
-   * An endpoint of the list was sent to a proxy.
+   * Called when an entry of the endpoint list was sent to a proxy.
    *
-   * @param host empty at the end of a complete list: the hosts that it did not name are gone
+   * @param host the host of the entry; empty at the end of a complete list, which means that all
+   *     hosts not sent with it are gone
    * @param health {@code ready}, {@code draining} or {@code gone}
-   * @param version of the list
+   * @param version the version of the list that the proxy has received
    */
   void endpointNotified(String proxy, String host, String health, long version);
 }
--- a/src/main/java/pathgw/fake/ClientConnector.java
+++ b/src/main/java/pathgw/fake/ClientConnector.java
@@ -8,8 +8,8 @@
    * Opens a connection to a proxy.
    *
    * @param proxy index of the proxy
-   * @param onOpen creates the client's handler of the open connection
-   * @param onRefused called where the connection cannot be opened
+   * @param onOpen called when the connection is open; returns the client's handler for it
+   * @param onRefused called if the connection cannot be opened
    */
   void open(int proxy, Function<ConnectionSide, ConnectionHandler> onOpen, Runnable onRefused);
 }
--- a/src/main/java/pathgw/fake/Clock.java
+++ b/src/main/java/pathgw/fake/Clock.java
@@ -2,15 +2,15 @@
 
 import java.time.Duration;
 
-/** The clock and the timers of one fake; its timers end with its process. */
+/** The clock and the timers of the process of one fake. */
 public interface Clock {
-  /** The time since the start of the run. */
+  /** Returns the time since the start of the run. */
   Duration now();
 
   /**
    * Starts a timer.
    *
-   * @param task runs once after the delay, unless the process has ended by then
+   * @param task runs once after the delay; doesn't run if the process has ended by then
    */
   void schedule(Duration delay, Runnable task);
 }
--- a/src/main/java/pathgw/fake/ConnectionHandler.java
+++ b/src/main/java/pathgw/fake/ConnectionHandler.java
@@ -4,9 +4,9 @@
 
 /** Receives the events of one connection of a fake. */
 public interface ConnectionHandler {
-  /** Bytes have arrived; a message may be cut anywhere. */
+  /** Called when bytes have arrived; a message may be split at any byte. */
   void received(Buffer bytes);
 
-  /** The connection has ended, whoever ended it. */
+  /** Called when the connection has ended, no matter which side ended it. */
   void ended();
 }
--- a/src/main/java/pathgw/fake/ConnectionSide.java
+++ b/src/main/java/pathgw/fake/ConnectionSide.java
@@ -2,18 +2,18 @@
 
 import io.vertx.core.buffer.Buffer;
 
-/** A fake's side of one connection, on which it sends. */
+/** One fake's side of a connection, through which it sends, closes and resets. */
 public interface ConnectionSide {
   /** Sends bytes. */
   void write(Buffer bytes);
 
-  /** Closes the connection after everything written has been sent. */
+  /** Closes the connection after all written bytes have been sent. */
   void close();
 
-  /** Resets the connection at once; bytes in flight are lost. */
+  /** Resets the connection immediately; bytes in transit are lost. */
   void reset();
 
-  /** Whether the peer is known not to have read everything written; false where unknown. */
+  /** Returns whether the peer is known to have unread bytes; false if that is unknown. */
   default boolean peerHasUnreadBytes() {
     return false;
   }
--- a/src/main/java/pathgw/fake/RecordCutter.java
+++ b/src/main/java/pathgw/fake/RecordCutter.java
@@ -4,16 +4,21 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Cuts the bytes of a connection into records: lines that end with CRLF or LF, and blocks of a
+ * Splits the bytes of a connection into records: lines that end with CRLF or LF, and blocks of a
  * known size.
  */
 public final class RecordCutter {
   private static final int INITIAL_BYTES = 512;
   private static final int NO_BLOCK = -1;
 
-  /** Receives one record as a range of a buffer that is valid during the call only. */
+  /** Receives a record as a range of a buffer that is valid only during the call. */
   public interface RecordConsumer {
-    /** Called once for each record. */
+    /**
+     * Called once for each record.
+     *
+     * @param from index of the first byte
+     * @param to index after the last byte
+     */
     void accept(byte[] bytes, int from, int to);
   }
 
@@ -24,25 +29,30 @@
   private int from;
   private int to;
 
-  /** Bytes after {@code from} that have been searched for a line end. */
+  /** The number of bytes from {@code from} on that contain no line end. */
   private int searchedBytes;
 
   /**
-   * Creates a cutter that expects a line.
+   * Creates a cutter whose first record is a line.
    *
-   * @param onLine receives each line without its end
+   * @param onLine receives each line without its line end
    */
   public RecordCutter(RecordConsumer onLine) {
     this.onLine = onLine;
   }
 
-  /** The next record is a block of this size; lines follow after it. */
+  /**
+   * Makes the next record a block; after it, lines follow again.
+   *
+   * @param size the size of the block in bytes
+   * @param onBlock receives the block
+   */
   public void expectBlock(int size, RecordConsumer onBlock) {
     blockSize = size;
     this.onBlock = onBlock;
   }
 
-  /** Adds bytes and delivers every record that is complete. */
+  /** Adds received bytes and delivers each record that they complete. */
   public void add(Buffer bytes) {
     if (to + bytes.length() > buffer.length) {
       ensureCapacity(bytes.length());
@@ -54,7 +64,7 @@
     }
   }
 
-  /** The text of a record, each byte one character. */
+  /** Returns a record as text, with one character for each byte. */
   public static String text(byte[] bytes, int from, int to) {
     return new String(bytes, from, to - from, StandardCharsets.ISO_8859_1);
   }
--- a/src/main/java/pathgw/fake/Request.java
+++ b/src/main/java/pathgw/fake/Request.java
@@ -1,13 +1,15 @@
 package pathgw.fake;
 
 /**
- * One request as a cache node or the origin received it.
+ * A request as a cache node or the origin received it.
  *
- * @param id the proxy's id of the client's attempt
- * @param labels the list of names and values as it came, for example {@code c=read,t=one,d=480}
+ * @param write whether the request is a write; otherwise it is a read
+ * @param key the key that is read or written
+ * @param id the id that the proxy gave to the client's attempt
+ * @param labels the list of names and values as received, for example {@code c=read,t=one,d=480}
  */
 public record Request(boolean write, String key, String id, String labels) {
-  /** The value of a label; empty where the request does not carry it. */
+  /** Returns the value of a label; empty if the request doesn't have the label. */
   public String label(char name) {
     String prefix = name + "=";
     if (labels.startsWith(prefix)) {
--- a/src/main/java/pathgw/fake/RequestReader.java
+++ b/src/main/java/pathgw/fake/RequestReader.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the requests that a proxy sends on one connection: meta commands to a cache node, HTTP to
- * the origin. Bytes may arrive cut anywhere.
+ * Parses the requests that a proxy sends on one connection: meta commands to a cache node, HTTP to
+ * the origin. A request may arrive in any number of pieces.
  */
 public final class RequestReader {
   private static final String REQUEST_ID_HEADER = "X-Txn: ";
@@ -20,7 +20,7 @@
   private final Runnable onUnreadable;
   private boolean write;
 
-  /** Null between requests. */
+  /** The key of the request being read; null between requests. */
   private String key;
 
   private String id;
@@ -37,7 +37,7 @@
    * Creates a reader of meta commands.
    *
    * @param onRequest receives each complete request
-   * @param onUnreadable called for a line that is no command
+   * @param onUnreadable called for a line that isn't a valid command
    */
   public static RequestReader meta(Consumer<Request> onRequest, Runnable onUnreadable) {
     return new RequestReader(false, onRequest, onUnreadable);
@@ -47,13 +47,13 @@
    * Creates a reader of HTTP requests.
    *
    * @param onRequest receives each complete request
-   * @param onUnreadable called for a line that is no request line
+   * @param onUnreadable called for a line that isn't a valid request line
    */
   public static RequestReader http(Consumer<Request> onRequest, Runnable onUnreadable) {
     return new RequestReader(true, onRequest, onUnreadable);
   }
 
-  /** Reads on; calls back for every request that is complete. */
+  /** Reads further bytes and delivers each request that they complete. */
   public void read(Buffer bytes) {
     cutter.add(bytes);
   }
