--- a/src/test/java/pathgw/fake/RequestReaderTest.java
+++ b/src/test/java/pathgw/fake/RequestReaderTest.java
@@ -21,7 +21,7 @@
           new Request(false, "k3", "21", "c=read"));
 
   private final List<Request> received = new ArrayList<>();
-  private int unreadable;
+  private int unreadableCount;
 
   private void readInPieces(RequestReader reader, String bytes, int pieceLength) {
     for (int from = 0; from < bytes.length(); from += pieceLength) {
@@ -31,35 +31,36 @@
   }
 
   @Test
-  void metaCommandsAreReadHoweverTheirBytesAreCut() {
+  void metaCommandsAreReadInPiecesOfAnyLength() {
     for (int length = 1; length <= META.length(); length++) {
       received.clear();
-      readInPieces(RequestReader.meta(received::add, () -> unreadable++), META, length);
+      readInPieces(RequestReader.meta(received::add, () -> unreadableCount++), META, length);
       assertEquals(REQUESTS, received, "pieces of " + length + " bytes");
     }
-    assertEquals(0, unreadable);
+    assertEquals(0, unreadableCount);
   }
 
   @Test
-  void httpRequestsAreReadHoweverTheirBytesAreCut() {
+  void httpRequestsAreReadInPiecesOfAnyLength() {
     for (int length = 1; length <= HTTP.length(); length++) {
       received.clear();
-      readInPieces(RequestReader.http(received::add, () -> unreadable++), HTTP, length);
+      readInPieces(RequestReader.http(received::add, () -> unreadableCount++), HTTP, length);
       assertEquals(REQUESTS, received, "pieces of " + length + " bytes");
     }
-    assertEquals(0, unreadable);
+    assertEquals(0, unreadableCount);
   }
 
   @Test
-  void lineThatIsNoCommandIsUnreadable() {
-    RequestReader.meta(received::add, () -> unreadable++).read(Buffer.buffer("get k1\r\n"));
-    RequestReader.http(received::add, () -> unreadable++).read(Buffer.buffer("mg k1 v O1\r\n"));
-    assertEquals(2, unreadable);
+  void invalidLineIsReportedAsUnreadable() {
+    RequestReader.meta(received::add, () -> unreadableCount++).read(Buffer.buffer("get k1\r\n"));
+    RequestReader.http(received::add, () -> unreadableCount++)
+        .read(Buffer.buffer("mg k1 v O1\r\n"));
+    assertEquals(2, unreadableCount);
     assertEquals(List.of(), received);
   }
 
   @Test
-  void labelIsFoundByItsWholeName() {
+  void labelMatchesItsWholeNameOnly() {
     Request request = new Request(true, "k1", "1f", "c=read,tk=9,k=7");
     assertEquals("read", request.label('c'));
     assertEquals("7", request.label('k'));
--- a/src/test/java/pathgw/fake/discovery/EndpointHistoryTest.java
+++ b/src/test/java/pathgw/fake/discovery/EndpointHistoryTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 class EndpointHistoryTest {
-  private static final int MORE_CHANGES_THAN_ARE_KEPT = 20;
+  private static final int MORE_THAN_MAX_KEPT_CHANGES = 20;
 
   private final EndpointHistory history = new EndpointHistory();
 
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void endpointThatIsGoneLeavesTheList() {
+  void endpointThatIsGoneIsRemovedFromTheList() {
     history.apply(entry("a", "ready"));
     history.apply(entry("b", "ready"));
     history.apply(entry("a", EndpointEntry.GONE));
@@ -26,23 +26,24 @@
   }
 
   @Test
-  void changesBetweenTwoVersionsComeInTheirOrder() {
-    long before = history.version();
+  void changesBetweenTwoVersionsAreReturnedInOrder() {
+    long versionBefore = history.version();
     history.apply(entry("a", "ready"));
     history.apply(entry("a", "draining"));
     history.apply(entry("b", "ready"));
-    assertTrue(history.hasChangesSince(before));
+    assertTrue(history.hasChangesSince(versionBefore));
     assertEquals(
-        List.of(entry("a", "ready"), entry("a", "draining")), history.changes(before, before + 2));
+        List.of(entry("a", "ready"), entry("a", "draining")),
+        history.changes(versionBefore, versionBefore + 2));
   }
 
   @Test
-  void oldChangesAreNotKept() {
-    long before = history.version();
-    for (int i = 0; i < MORE_CHANGES_THAN_ARE_KEPT; i++) {
+  void onlyTheLatestChangesAreKept() {
+    long versionBefore = history.version();
+    for (int i = 0; i < MORE_THAN_MAX_KEPT_CHANGES; i++) {
       history.apply(entry("a", "ready"));
     }
-    assertFalse(history.hasChangesSince(before));
+    assertFalse(history.hasChangesSince(versionBefore));
     assertTrue(history.hasChangesSince(history.version() - 1));
   }
 
--- a/src/test/java/pathgw/fake/server/DedupMemoryTest.java
+++ b/src/test/java/pathgw/fake/server/DedupMemoryTest.java
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void repeatAfterCompletionReceivesTheReceiptAtOnce() {
+  void repeatAfterCompletionReceivesTheReceiptImmediately() {
     assertFalse(memory.isRepeat("key", Duration.ZERO, receipts::add));
     memory.complete("key", "receipt");
     assertTrue(memory.isRepeat("key", RETENTION.minusNanos(1), receipts::add));
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void keyIsForgottenAfterTheRetentionTime() {
+  void keyIsRemovedAfterTheRetentionTime() {
     assertFalse(memory.isRepeat("key", Duration.ZERO, receipts::add));
     memory.complete("key", "receipt");
     assertFalse(memory.isRepeat("key", RETENTION, receipts::add));
