--- a/src/main/java/pathgw/decision/AttemptOutcome.java
+++ b/src/main/java/pathgw/decision/AttemptOutcome.java
@@ -8,7 +8,7 @@
   ERROR,
   /** The node rejected the request without executing it. */
   REJECTED,
-  /** The node did not respond before the timeout. */
+  /** No complete response arrived before the request's deadline. */
   TIMED_OUT,
   /** No connection to the node could be opened. */
   CONNECT_FAILED,
--- a/src/main/java/pathgw/decision/AttemptState.java
+++ b/src/main/java/pathgw/decision/AttemptState.java
@@ -17,7 +17,10 @@
   /** The outcome, or null while the attempt is in flight. */
   AttemptOutcome outcome;
 
-  /** Whether the attempt timeout has passed while the attempt was in flight. */
+  /**
+   * Whether the timeout of {@link RetryBudget#attemptTimeoutSeconds} has passed while the attempt
+   * was in flight. Unlike {@link AttemptOutcome#TIMED_OUT}, this does not end the attempt.
+   */
   boolean timedOut;
 
   /**
