--- a/src/main/java/pathgw/fake/discovery/EndpointEntry.java
+++ b/src/main/java/pathgw/fake/discovery/EndpointEntry.java
@@ -7,7 +7,7 @@
  * @param address host and port to connect to
  * @param zone the zone of the endpoint
  * @param hostType the type of its machine
- * @param cell the number of its cell within the zone
+ * @param cell the number of the failure domain that the endpoint is in
  * @param health "ready", "draining" or "gone"
  * @param startedAtMs when it last started, in milliseconds of Unix time; 0 if it started so long
  *     ago that it has warmed up
--- a/src/main/java/pathgw/fake/server/WorkerQueue.java
+++ b/src/main/java/pathgw/fake/server/WorkerQueue.java
@@ -6,7 +6,10 @@
 import java.util.function.DoubleSupplier;
 import pathgw.fake.Clock;
 
-/** The workers of a fake server and the bounded queue of requests that wait for a worker. */
+/**
+ * The workers of a fake server, one for each of its {@link ServerLimits#slots()}, and the bounded
+ * queue of requests that wait for a worker.
+ */
 final class WorkerQueue {
   private final Clock clock;
   private final Random random;
--- a/src/main/java/pathgw/simulation/NodeFaults.java
+++ b/src/main/java/pathgw/simulation/NodeFaults.java
@@ -19,7 +19,7 @@
   private static final double NANOS_PER_MILLI = 1e6;
 
   /**
-   * A crashed node is listed as gone after this delay plus less than {@link
+   * A crashed node is listed as gone after this delay plus the time of the fault modulo {@link
    * #CRASH_LISTING_SPREAD_MS}.
    */
   private static final long CRASH_LISTING_DELAY_MS = 300;
--- a/src/main/java/pathgw/simulation/cluster/SimulatedDiscovery.java
+++ b/src/main/java/pathgw/simulation/cluster/SimulatedDiscovery.java
@@ -15,7 +15,7 @@
 
 /**
  * The discovery service of one run. It also determines when a proxy counts as notified of a change,
- * for rule 3.
+ * for rule 3: no new request to a node after the notification that it is draining or gone.
  */
 public final class SimulatedDiscovery {
   /** A proxy counts as notified of a change after it could reach discovery for this long. */
--- a/src/main/java/pathgw/simulation/invariant/Violation.java
+++ b/src/main/java/pathgw/simulation/invariant/Violation.java
@@ -5,7 +5,7 @@
  *
  * @param rule 1 to 4 as numbered by the deployment's rules; 5 for the project's own requirements
  * @param kind a word for the way in which the rule was violated, used by kept scenarios and tests
- * @param atNanos virtual time
+ * @param atNanos virtual time of the violation, in nanoseconds since the run began
  * @param text a description for a human reader
  */
 public record Violation(int rule, String kind, long atNanos, String text) {
